--- a/packages/core/src/sardinequay_core/adapter_demand.py
+++ b/packages/core/src/sardinequay_core/adapter_demand.py
@@ -17,13 +17,13 @@
 HALF_LIFE = seconds(4)
 """Half-life of a request: demand moves to other adapters within seconds."""
 
-PEER_LIFE = seconds(3)
+PEER_EXPIRY = seconds(3)
 """How long what a silent peer told counts."""
 
-FORGET_BELOW = 0.2
+MIN_COUNT = 0.2
 """Requests below which an adapter is forgotten: three half-lives after its last one."""
 
-PER_REQUEST = 10
+COUNT_SCALE = 10
 """Counts are told as whole tenths of a request."""
 
 HEADROOM = 1.3
@@ -68,57 +68,57 @@
 
     def note(self, adapter: str, now: Instant) -> None:
         """Count one request."""
-        self.fade(now)
+        self.decay(now)
         self.counts[adapter] = self.counts.get(adapter, 0.0) + 1.0
 
-    def fade(self, now: Instant) -> None:
+    def decay(self, now: Instant) -> None:
         """Let what was counted age."""
         part = math.exp2(-((now - self.counted_at) / HALF_LIFE))
         self.counted_at = now
         faded = {a: count * part for a, count in self.counts.items()}
-        self.counts = {a: c for a, c in faded.items() if c >= FORGET_BELOW}
+        self.counts = {a: c for a, c in faded.items() if c >= MIN_COUNT}
 
-    def own(self, now: Instant) -> Demand:
+    def own_demand(self, now: Instant) -> Demand:
         """Return what this host's callers ask for."""
-        self.fade(now)
-        told = {a: round(c * PER_REQUEST) for a, c in self.counts.items()}
+        self.decay(now)
+        told = {a: round(c * COUNT_SCALE) for a, c in self.counts.items()}
         return Demand(sum(told.values()), told)
 
-    def hear(self, host: HostId, demand: Demand, now: Instant) -> None:
+    def apply_peer_demand(self, host: HostId, demand: Demand, now: Instant) -> None:
         """Take what a peer tells; it replaces what it told before."""
         self.peers[host] = (demand, now)
 
-    def hear_all(self, host: HostId, demand: Demand, now: Instant) -> None:
+    def apply_fleet_demand(self, host: HostId, demand: Demand, now: Instant) -> None:
         """Take from one peer what the callers of all others ask for."""
         self.peers = {host: (demand, now)}
 
-    def forget(self, host: HostId) -> None:
+    def forget_peer(self, host: HostId) -> None:
         """Drop what a peer told."""
         self.peers.pop(host, None)
 
-    def sum_of(self, hosts: Iterable[HostId], now: Instant) -> Demand:
+    def summed_demand(self, hosts: Iterable[HostId], now: Instant) -> Demand:
         """Return the demand of this host and some peers together."""
-        mine = self.own(now)
+        mine = self.own_demand(now)
         total, by_adapter = mine.total, dict(mine.by_adapter)
         for host in hosts:
             demand, at = self.peers.get(host, (NO_DEMAND, now))
-            if now - at >= PEER_LIFE:
+            if now - at >= PEER_EXPIRY:
                 continue
             total += demand.total
             for adapter, count in demand.by_adapter.items():
                 by_adapter[adapter] = by_adapter.get(adapter, 0) + count
         return Demand(total, by_adapter)
 
-    def copies_due(self, adapter: str, engines: int, now: Instant) -> int:
+    def desired_copies(self, adapter: str, engines: int, now: Instant) -> int:
         """Return on how many of some engines an adapter should be."""
-        demand = self.sum_of(self.peers, now)
+        demand = self.summed_demand(self.peers, now)
         if not demand.total:
             return 1
         count = demand.by_adapter.get(adapter, 0)
         return max(1, math.ceil(HEADROOM * engines * count / demand.total - 0.5))
 
 
-def most_wanted(demand: Demand, engines: int) -> Demand:
+def popular_demand(demand: Demand, engines: int) -> Demand:
     """Return a demand without the adapters that one engine carries easily."""
     least = demand.total / max(1, engines) / 2
     kept = {a: c for a, c in demand.by_adapter.items() if c >= least}
--- a/packages/core/src/sardinequay_core/demand.py
+++ b/packages/core/src/sardinequay_core/demand.py
@@ -10,7 +10,7 @@
 HALF_LIFE = timedelta(seconds=60)
 """Long enough to rank adapters by a few requests each, short beside a lesson."""
 
-FORGET_BELOW = 0.01
+MIN_COUNT = 0.01
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
 
     half_life: timedelta = HALF_LIFE
     counts: dict[AdapterRef, tuple[float, Instant]] = field(default_factory=dict)
-    looked_at: Instant = ZERO
+    pruned_at: Instant = ZERO
 
     def value(self, adapter: AdapterRef, now: Instant) -> float:
         """Return the decayed count of requests for an adapter."""
@@ -29,15 +29,15 @@
         count, at = found
         return count * math.exp2(-((now - at) / self.half_life))
 
-    def add(self, adapter: AdapterRef, now: Instant, count: float = 1.0) -> None:
+    def record_requests(self, adapter: AdapterRef, now: Instant, count: float = 1.0) -> None:
         """Count requests for an adapter."""
         self.counts[adapter] = (self.value(adapter, now) + count, now)
 
-    def forget_idle(self, now: Instant) -> None:
+    def prune_idle(self, now: Instant) -> None:
         """Drop adapters that nobody has asked for in a long time, now and then."""
-        if now - self.looked_at < self.half_life:
+        if now - self.pruned_at < self.half_life:
             return
-        self.looked_at = now
-        idle = [a for a in self.counts if self.value(a, now) < FORGET_BELOW]
+        self.pruned_at = now
+        idle = [a for a in self.counts if self.value(a, now) < MIN_COUNT]
         for adapter in idle:
             del self.counts[adapter]
--- a/packages/core/src/sardinequay_core/engine_book.py
+++ b/packages/core/src/sardinequay_core/engine_book.py
@@ -147,15 +147,15 @@
         known = self.wanted.get(adapter)
         others = tuple(known.waiters.values()) if known else ()
         mine = Wanted(dict(enumerate((*others, waiter)))).score(
-            now, self.times.takes_s(adapter)
+            now, self.times.expected_load_s(adapter)
         )
         ahead = sum(
             1
             for other, wanted in self.wanted.items()
-            if other != adapter and wanted.score(now, self.times.takes_s(other)) >= mine
+            if other != adapter and wanted.score(now, self.times.expected_load_s(other)) >= mine
         )
         return (
-            self.times.takes_s(adapter)
+            self.times.expected_load_s(adapter)
             + max(0, ahead + 1 - free) * self.times.turnover_s
         )
 
@@ -176,8 +176,8 @@
 
     def begin_use(self, adapter: AdapterRef, now: Instant) -> None:
         """Take that a request begins to use an adapter."""
-        self.demand.add(adapter, now)
-        self.demand.forget_idle(now)
+        self.demand.record_requests(adapter, now)
+        self.demand.prune_idle(now)
         self.use({adapter: 1}, now)
 
     def use(self, in_use: Mapping[AdapterRef, int], now: Instant) -> None:
@@ -224,7 +224,7 @@
                 del self.coming[adapter]
         self.late_since.clear()
         for adapter in status.coming:
-            self.coming.setdefault(adapter, now + seconds(self.times.cold_s))
+            self.coming.setdefault(adapter, now + seconds(self.times.cold_load_s))
         self.dropping &= set(self.used_at)
 
     def arrived(self, adapter: AdapterRef, now: Instant) -> None:
@@ -232,7 +232,7 @@
         if self.coming.pop(adapter, None) is not None:
             self.arrived_at[adapter] = now
         self.wanted.pop(adapter, None)
-        self.times.remember(adapter)
+        self.times.record_recent(adapter)
 
     def settle(self, now: Instant) -> None:
         """Let loads arrive whose time has come; a request then finds out."""
@@ -267,11 +267,11 @@
             self.used_at[adapter] = now
             self.arrived(adapter, now)
         else:
-            takes_s = self.times.begin(adapter)
+            takes_s = self.times.record_load_start(adapter)
             self.late_since.pop(adapter, None)
             self.coming[adapter] = now + seconds(takes_s)
             self.wanted.pop(adapter, None)
-            self.times.took_place(bool(self.wanted), now)
+            self.times.record_place_taken(bool(self.wanted), now)
         self.changed()
 
     def refused(self, order: Order, now: Instant) -> None:
@@ -297,7 +297,7 @@
         late_for = now - self.late_since.setdefault(adapter, now)
         is_recent = arrived_at is not None and now - arrived_at < seconds(LATE_LOAD_S)
         if is_recent and late_for < seconds(LONGEST_LATE_S):
-            self.times.was_late(adapter)
+            self.times.record_late_load(adapter)
             self.coming[adapter] = now + seconds(STILL_COMING_S)
         else:
             self.in_doubt(now)
@@ -344,7 +344,7 @@
         ranked = sorted(
             self.wanted.items(),
             key=lambda item: (
-                -item[1].score(now, self.times.takes_s(item[0])),
+                -item[1].score(now, self.times.expected_load_s(item[0])),
                 item[1].since(),
                 item[0],
             ),
@@ -404,7 +404,7 @@
             order = self.unload(adapter, now)
             if order is not None:
                 return order
-        self.times.found_full(now)
+        self.times.record_waiting_load(now)
         return None
 
     def staying_rank(
--- a/packages/core/src/sardinequay_core/keeper.py
+++ b/packages/core/src/sardinequay_core/keeper.py
@@ -196,7 +196,7 @@
         list of (Use, timedelta)
             Each lease with how long it lasts from now.
         """
-        self.queue.demand.add(adapter, now)
+        self.queue.demand.record_requests(adapter, now)
         granted = []
         for target_id, kept in self.engines.items():
             use = Use(adapter, target_id)
@@ -228,7 +228,7 @@
             if kept is None or use.adapter not in kept.resident:
                 continue
             if self.is_renewable(kept, use, now):
-                self.queue.demand.add(use.adapter, now, in_flight)
+                self.queue.demand.record_requests(use.adapter, now, in_flight)
                 self.grant(kept, use, holder, sequence)
                 renewed.append((use, self.remaining(kept, now)))
             elif in_flight:
@@ -261,7 +261,7 @@
         self, ticket: int, adapter: AdapterRef, deadline: Instant, now: Instant
     ) -> GiveUp | None:
         """Queue a request for a cold adapter, or give it up at once."""
-        self.queue.demand.add(adapter, now)
+        self.queue.demand.record_requests(adapter, now)
         if adapter in self.loading():
             deadline = max(deadline, now + self.queue.load_time)
         return self.queue.add(ticket, adapter, deadline, now)
@@ -275,7 +275,7 @@
     def tick(self, now: Instant) -> list[Command]:
         """Decide what to order now."""
         self.queue.refill(now)
-        self.queue.demand.forget_idle(now)
+        self.queue.demand.prune_idle(now)
         self.retake(now)
         commands: list[Command] = [*self.queue.give_up_hopeless(now, self.loading())]
         commands += self.assert_tokens()
--- a/packages/core/src/sardinequay_core/load_view.py
+++ b/packages/core/src/sardinequay_core/load_view.py
@@ -11,21 +11,21 @@
 
 from .clock import ZERO, Instant, seconds
 from .names import HostId, TargetId
-from .reading_pace import PaceBook, pace_of
+from .reading_pace import PaceMeasurements, relative_pace
 
-PEER_SHARE_LIFE = seconds(1.5)
+PEER_SHARE_EXPIRY = seconds(1.5)
 """How long a silent peer's share counts in a small fleet: several of its periods."""
 
 DEFAULT_TOKENS_PER_S = 22_000.0
 """Prompt tokens that an engine reads a second before any was measured."""
 
-PACE_MEMORY = 0.85
+PACE_DECAY = 0.85
 """Weight of the past in an engine's measured pace; about seven requests."""
 
-SLOWEST, FASTEST = 8.0, 0.6
+MAX_PACE, MIN_PACE = 8.0, 0.6
 """Bounds of the measured pace against the default: a frozen engine is no slow one."""
 
-BASE_S = 0.02
+BASE_LATENCY_S = 0.02
 """A request's way to an engine and its first decoding step, in seconds."""
 
 
@@ -49,7 +49,7 @@
     expected_ms: int = 0
     took_ms: int = 0
 
-    def plus(
+    def with_added(
         self,
         unread_tokens: int,
         running: int,
@@ -64,24 +64,24 @@
             self.took_ms + took_ms,
         )
 
-    def and_share(self, other: "EngineShare") -> "EngineShare":
+    def merged_with(self, other: "EngineShare") -> "EngineShare":
         """Return two shares together."""
-        return self.plus(
+        return self.with_added(
             other.unread_tokens, other.running, other.expected_ms, other.took_ms
         )
 
-    def less(self, other: "EngineShare") -> "EngineShare":
+    def without(self, other: "EngineShare") -> "EngineShare":
         """Return this share without another that is part of it."""
-        return self.plus(
+        return self.with_added(
             -other.unread_tokens, -other.running, -other.expected_ms, -other.took_ms
         )
 
 
-IDLE = EngineShare()
+NO_LOAD = EngineShare()
 
 
 @dataclass(frozen=True, slots=True)
-class HeardShares:
+class PeerShares:
     """What one peer told, and when."""
 
     at: Instant
@@ -106,149 +106,149 @@
     """
 
     own: dict[TargetId, EngineShare] = field(default_factory=dict)
-    peers: dict[HostId, HeardShares] = field(default_factory=dict)
-    heard: dict[TargetId, EngineShare] = field(default_factory=dict)
-    pace: dict[TargetId, float] = field(default_factory=dict)
-    peer_life: timedelta = PEER_SHARE_LIFE
+    peers: dict[HostId, PeerShares] = field(default_factory=dict)
+    peer_total: dict[TargetId, EngineShare] = field(default_factory=dict)
+    own_pace: dict[TargetId, float] = field(default_factory=dict)
+    peer_expiry: timedelta = PEER_SHARE_EXPIRY
     next_expiry: Instant = ZERO
-    measures_together: bool = False
-    measurements: PaceBook = field(default_factory=PaceBook)
+    uses_fleet_pace: bool = False
+    pace_measurements: PaceMeasurements = field(default_factory=PaceMeasurements)
 
-    def begin(self, target: TargetId, tokens: int) -> None:
+    def record_sent(self, target: TargetId, tokens: int) -> None:
         """Count a request in that is on its way to an engine."""
-        self.own[target] = self.own.get(target, IDLE).plus(tokens, 0)
+        self.own[target] = self.own.get(target, NO_LOAD).with_added(tokens, 0)
 
-    def first_event(self, target: TargetId, tokens: int) -> None:
+    def record_first_event(self, target: TargetId, tokens: int) -> None:
         """Count a request over from unread to running."""
-        self.own[target] = self.own[target].plus(-tokens, 1)
+        self.own[target] = self.own[target].with_added(-tokens, 1)
 
-    def end(self, target: TargetId, tokens: int, had_first_event: bool) -> None:
+    def record_end(self, target: TargetId, tokens: int, had_first_event: bool) -> None:
         """Count a request out."""
         share = self.own[target]
-        left = share.plus(0, -1) if had_first_event else share.plus(-tokens, 0)
-        if left == IDLE:
+        left = share.with_added(0, -1) if had_first_event else share.with_added(-tokens, 0)
+        if left == NO_LOAD:
             del self.own[target]
         else:
             self.own[target] = left
 
-    def hear(
+    def apply_peer_shares(
         self, host: HostId, shares: Mapping[TargetId, EngineShare], now: Instant
     ) -> None:
         """Take a peer's share; it replaces what the peer told before."""
-        self.forget(host)
-        self.peers[host] = HeardShares(now, shares)
+        self.forget_peer(host)
+        self.peers[host] = PeerShares(now, shares)
         for target, share in shares.items():
-            self.add(target, share)
+            self.add_to_peer_total(target, share)
 
-    def hear_all(
+    def apply_fleet_shares(
         self, host: HostId, shares: Mapping[TargetId, EngineShare], now: Instant
     ) -> None:
         """Take from one peer what all others have on engines."""
         self.peers.clear()
-        self.heard.clear()
-        self.hear(host, shares, now)
+        self.peer_total.clear()
+        self.apply_peer_shares(host, shares, now)
 
-    def forget(self, host: HostId) -> None:
+    def forget_peer(self, host: HostId) -> None:
         """Drop a peer that is gone; its requests are gone with it."""
         told = self.peers.pop(host, None)
         if told is not None:
             for target, share in told.shares.items():
-                self.add(target, IDLE.less(share))
+                self.add_to_peer_total(target, NO_LOAD.without(share))
 
-    def add(self, target: TargetId, share: EngineShare) -> None:
+    def add_to_peer_total(self, target: TargetId, share: EngineShare) -> None:
         """Change the sum over peers of one engine."""
-        total = self.heard.get(target, IDLE).and_share(share)
-        if total == IDLE:
-            self.heard.pop(target, None)
+        total = self.peer_total.get(target, NO_LOAD).merged_with(share)
+        if total == NO_LOAD:
+            self.peer_total.pop(target, None)
         else:
-            self.heard[target] = total
+            self.peer_total[target] = total
 
-    def expire(self, now: Instant) -> None:
+    def expire_peers(self, now: Instant) -> None:
         """Drop peers that have been silent for too long."""
         if now < self.next_expiry:
             return
-        since = now - self.peer_life
+        since = now - self.peer_expiry
         for host in [h for h, told in self.peers.items() if told.at <= since]:
-            self.forget(host)
+            self.forget_peer(host)
         oldest = min((told.at for told in self.peers.values()), default=now)
-        self.next_expiry = oldest + self.peer_life
+        self.next_expiry = oldest + self.peer_expiry
 
-    def share(self, target: TargetId, now: Instant) -> EngineShare:
+    def total_share(self, target: TargetId, now: Instant) -> EngineShare:
         """Return the load of all hosts on an engine."""
-        self.expire(now)
-        mine = self.own.get(target, IDLE)
-        theirs = self.heard.get(target)
-        return mine if theirs is None else mine.and_share(theirs)
+        self.expire_peers(now)
+        mine = self.own.get(target, NO_LOAD)
+        theirs = self.peer_total.get(target)
+        return mine if theirs is None else mine.merged_with(theirs)
 
-    def to_tell(self, now: Instant) -> dict[TargetId, EngineShare]:
+    def own_shares(self, now: Instant) -> dict[TargetId, EngineShare]:
         """Return this host's part with what it measured, for a hub."""
         found = dict(self.own)
-        for target in self.measurements.own:
-            seen = self.measurements.seen(target, now)
+        for target in self.pace_measurements.own:
+            seen = self.pace_measurements.measurement_of(target, now)
             expected_ms = round(seen.expected_s * 1000)
             if expected_ms:
-                share = found.get(target, IDLE)
+                share = found.get(target, NO_LOAD)
                 took_ms = round(seen.took_s * 1000)
-                found[target] = share.plus(0, 0, expected_ms, took_ms)
+                found[target] = share.with_added(0, 0, expected_ms, took_ms)
         return found
 
-    def all_but(self, host: HostId, now: Instant) -> dict[TargetId, EngineShare]:
+    def shares_excluding(self, host: HostId, now: Instant) -> dict[TargetId, EngineShare]:
         """Return the part of all hosts but what one of them told, by engine."""
-        self.expire(now)
+        self.expire_peers(now)
         told = self.peers.get(host)
-        found = self.to_tell(now)
-        for target, share in self.heard.items():
-            found[target] = found.get(target, IDLE).and_share(share)
+        found = self.own_shares(now)
+        for target, share in self.peer_total.items():
+            found[target] = found.get(target, NO_LOAD).merged_with(share)
         for target, share in told.shares.items() if told is not None else ():
-            left = found[target].less(share)
-            if left == IDLE:
+            left = found[target].without(share)
+            if left == NO_LOAD:
                 del found[target]
             else:
                 found[target] = left
         return found
 
-    def sum_of(
+    def combined_shares(
         self, hosts: Iterable[HostId], now: Instant
     ) -> dict[TargetId, EngineShare]:
         """Return the part of this host and some peers together, by engine."""
-        self.expire(now)
-        found = self.to_tell(now)
+        self.expire_peers(now)
+        found = self.own_shares(now)
         for host in hosts:
             told = self.peers.get(host)
             for target, share in told.shares.items() if told is not None else ():
-                found[target] = found.get(target, IDLE).and_share(share)
+                found[target] = found.get(target, NO_LOAD).merged_with(share)
         return found
 
-    def pace_of(self, target: TargetId, now: Instant) -> float:
+    def engine_pace(self, target: TargetId, now: Instant) -> float:
         """Return an engine's pace against the usual one, bounded.
 
         In a small fleet a host sends each engine requests enough to know by itself.
         """
-        if not self.measures_together:
-            return self.pace.get(target, 1.0)
-        heard = self.heard.get(target, IDLE)
-        seen = self.measurements.seen(target, now)
-        pace = pace_of(
+        if not self.uses_fleet_pace:
+            return self.own_pace.get(target, 1.0)
+        heard = self.peer_total.get(target, NO_LOAD)
+        seen = self.pace_measurements.measurement_of(target, now)
+        pace = relative_pace(
             seen.expected_s + heard.expected_ms / 1000,
             seen.took_s + heard.took_ms / 1000,
         )
-        return min(SLOWEST, max(FASTEST, pace))
+        return min(MAX_PACE, max(MIN_PACE, pace))
 
-    def usual_s(self, target: TargetId, tokens: int, now: Instant) -> float:
+    def nominal_read_s(self, target: TargetId, tokens: int, now: Instant) -> float:
         """Return how long reading up to a new request takes at the usual pace."""
-        unread = self.share(target, now).unread_tokens + tokens
+        unread = self.total_share(target, now).unread_tokens + tokens
         return unread / DEFAULT_TOKENS_PER_S
 
-    def first_event_s(self, target: TargetId, tokens: int, now: Instant) -> float:
+    def expected_first_event_s(self, target: TargetId, tokens: int, now: Instant) -> float:
         """Return when a new request's first event is expected, in seconds."""
-        return BASE_S + self.pace_of(target, now) * self.usual_s(target, tokens, now)
+        return BASE_LATENCY_S + self.engine_pace(target, now) * self.nominal_read_s(target, tokens, now)
 
     def forget_target(self, target: TargetId) -> None:
         """Drop what was measured of a target that started again."""
-        self.pace.pop(target, None)
-        self.measurements.forget_target(target)
+        self.own_pace.pop(target, None)
+        self.pace_measurements.forget_target(target)
 
-    def measured(
+    def record_pace(
         self, target: TargetId, usual_s: float, took_s: float, now: Instant
     ) -> None:
         """Learn an engine's pace from one request's first event.
@@ -259,8 +259,8 @@
             How long reading takes at the usual pace, by the load when it was sent.
         """
         usual_s = max(usual_s, 0.001)
-        took_s = max(took_s - BASE_S, 0.001)
-        self.measurements.note(target, usual_s, took_s, now)
-        seen = min(SLOWEST, max(FASTEST, took_s / usual_s))
-        old = self.pace.get(target, 1.0)
-        self.pace[target] = old * PACE_MEMORY + seen * (1 - PACE_MEMORY)
+        took_s = max(took_s - BASE_LATENCY_S, 0.001)
+        self.pace_measurements.note(target, usual_s, took_s, now)
+        seen = min(MAX_PACE, max(MIN_PACE, took_s / usual_s))
+        old = self.own_pace.get(target, 1.0)
+        self.own_pace[target] = old * PACE_DECAY + seen * (1 - PACE_DECAY)
--- a/packages/core/src/sardinequay_core/reading_pace.py
+++ b/packages/core/src/sardinequay_core/reading_pace.py
@@ -40,14 +40,14 @@
     took_s: float
     at: Instant
 
-    def faded(self, now: Instant) -> "Measured":
+    def decayed(self, now: Instant) -> "Measured":
         """Return what is left of it by now."""
         part = math.exp2(-((now - self.at) / HALF_LIFE))
         return Measured(self.expected_s * part, self.took_s * part, now)
 
 
 @dataclass(slots=True)
-class PaceBook:
+class PaceMeasurements:
     """What this host measured of each engine."""
 
     own: dict[TargetId, Measured] = field(default_factory=dict)
@@ -56,21 +56,21 @@
         self, target: TargetId, expected_s: float, took_s: float, now: Instant
     ) -> None:
         """Enter one request's first event."""
-        before = self.seen(target, now)
+        before = self.measurement_of(target, now)
         self.own[target] = Measured(
             before.expected_s + expected_s, before.took_s + took_s, now
         )
 
-    def seen(self, target: TargetId, now: Instant) -> Measured:
+    def measurement_of(self, target: TargetId, now: Instant) -> Measured:
         """Return what this host measured of an engine."""
         known = self.own.get(target)
-        return known.faded(now) if known is not None else Measured(0.0, 0.0, now)
+        return known.decayed(now) if known is not None else Measured(0.0, 0.0, now)
 
     def forget_target(self, target: TargetId) -> None:
         """Drop what was measured of a target that started again or is gone."""
         self.own.pop(target, None)
 
 
-def pace_of(expected_s: float, took_s: float) -> float:
+def relative_pace(expected_s: float, took_s: float) -> float:
     """Return an engine's pace against the usual one: 2 takes twice as long."""
     return (PRIOR_S + took_s) / (PRIOR_S + expected_s)
--- a/packages/core/src/sardinequay_core/service_choice.py
+++ b/packages/core/src/sardinequay_core/service_choice.py
@@ -30,24 +30,24 @@
     """
 
     target: TargetId
-    in_work: int
+    in_flight: int
     slots: int
     is_local: bool
     is_full: bool
     was_tried: bool
-    spread: float
+    tie_breaker: float
 
 
-def cost(option: ServiceOption) -> float:
+def option_cost(option: ServiceOption) -> float:
     """Return an option's rank; the lowest is taken."""
-    fill = option.in_work / max(1, option.slots)
+    fill = option.in_flight / max(1, option.slots)
     fill += 0.0 if option.is_local else LOCAL_PREFERENCE
     fill += FULL_PENALTY if option.is_full else 0.0
     fill += 2 * FULL_PENALTY if option.was_tried else 0.0
-    return fill + option.spread * LOCAL_PREFERENCE / 4
+    return fill + option.tie_breaker * LOCAL_PREFERENCE / 4
 
 
-def choose_service(options: Sequence[ServiceOption]) -> TargetId | None:
+def choose_target(options: Sequence[ServiceOption]) -> TargetId | None:
     """Return the target to send to, or None if there is none."""
-    best = min(options, key=cost, default=None)
+    best = min(options, key=option_cost, default=None)
     return best.target if best is not None else None
--- a/packages/core/src/sardinequay_core/target_choice.py
+++ b/packages/core/src/sardinequay_core/target_choice.py
@@ -19,45 +19,45 @@
 COLD_LOAD_S = 0.3
 """A load from the weight store at full speed, with the order's way, in seconds."""
 
-FURTHER_COPY_S = 2.0
+EXTRA_COPY_COST_S = 2.0
 """What a further copy of an adapter must save in waiting to be worth a cold load and a
 place, of which there are fewer than adapters in demand."""
 
-FURTHER_WARM_COPY_S = 0.1
+EXTRA_WARM_COPY_COST_S = 0.1
 """The same where the engine had the adapter lately and loads it from memory."""
 
-DUE_COPY_S = 0.1
+DESIRED_COPY_COST_S = 0.1
 """What a copy counts for that the adapter's share of all requests is due: enough that
 an idle engine that has it goes first."""
 
-NO_ROOM_S = 0.03
+EVICTION_COST_S = 0.03
 """Evicting an idle adapter first: one more order, and the risk that none is idle."""
 
-ALL_IN_USE_S = 0.2
+ALL_IN_USE_WAIT_S = 0.2
 """Waiting until one of the adapters in use falls idle, beside the queue for places."""
 
-BARRED_S = 0.5
+FAILED_ENGINE_PENALTY_S = 0.5
 """An engine that failed this request, or did not get its adapter in time."""
 
-FULL_S = 0.3
+FULL_ENGINE_PENALTY_S = 0.3
 """An engine that rejected a request a moment ago because it was full."""
 
-OTHER_DATA_CENTRE_S = 0.004
+CROSS_DATA_CENTRE_S = 0.004
 """Crossing to another data centre and back; also keeps bytes between them few."""
 
-HOME_STEP_S = 0.012
+HOME_RANK_COST_S = 0.012
 """How much the rank for a new adapter weighs: enough that hosts that see loads a
 little differently load it on the same engine."""
 
-PATIENCE = 0.85
+MAX_WAIT_SHARE = 0.85
 """Share of the time left that may go by before the first event is expected."""
 
-QUEUE_GONE = 0.6
+RETRY_AFTER_SHARE = 0.6
 """Part of the expected wait after which a refused caller is told to come back: most of
 the queue is gone by then, and enough of its time is left."""
 
 
-class Holding(Enum):
+class AdapterState(Enum):
     """Whether an engine has a request's adapter."""
 
     RESIDENT = "resident"
@@ -95,24 +95,24 @@
     """
 
     target: TargetId
-    holding: Holding
+    adapter_state: AdapterState
     first_event_s: float
     is_local: bool
-    ready_in_s: float = 0.0
+    loaded_in_s: float = 0.0
     free_places: int = 0
     idle_adapters: int = 0
     home_rank: int = 0
     may_load: bool = True
     is_full: bool = False
-    was_barred: bool = False
-    opens_in_s: float = 0.0
+    has_failed_request: bool = False
+    keeper_wait_s: float = 0.0
     queued: int = 0
     turnover_s: float = 0.0
-    told_s: float | None = None
+    keeper_estimate_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendToEngine:
     """Send the request to an engine that has the adapter."""
 
     target: TargetId
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class LoadOnEngine:
     """Have the adapter loaded on an engine, then choose anew."""
 
     target: TargetId
@@ -128,22 +128,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TooBusy:
+class EnginesTooBusy:
     """No engine can begin in time; `wait_s` until one could."""
 
     wait_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Nowhere:
+class NoEngine:
     """No engine has the adapter and nobody can order it to be loaded."""
 
 
-Choice = Send | Load | TooBusy | Nowhere
+EngineChoice = SendToEngine | LoadOnEngine | EnginesTooBusy | NoEngine
 
 
 @dataclass(frozen=True, slots=True)
-class Copies:
+class AdapterCopies:
     """Whether any engine has a request's adapter, or had it lately.
 
     Parameters
@@ -154,64 +154,64 @@
 
     any_resident: bool
     any_recent: bool
-    is_due: bool = False
+    is_below_desired: bool = False
 
 
-def copies_of(options: Sequence[EngineOption], due: int) -> Copies:
+def count_copies(options: Sequence[EngineOption], due: int) -> AdapterCopies:
     """Return where a request's adapter is, over all engines."""
-    held = [o.holding for o in options]
-    there = held.count(Holding.RESIDENT) + held.count(Holding.COMING)
-    return Copies(there > 0, Holding.RECENT in held, 0 < there < due)
+    held = [o.adapter_state for o in options]
+    there = held.count(AdapterState.RESIDENT) + held.count(AdapterState.COMING)
+    return AdapterCopies(there > 0, AdapterState.RECENT in held, 0 < there < due)
 
 
-def load_s(option: EngineOption) -> float:
+def expected_load_s(option: EngineOption) -> float:
     """Return when the adapter is expected on an engine, in seconds."""
-    if option.holding is Holding.RESIDENT:
+    if option.adapter_state is AdapterState.RESIDENT:
         return 0.0
-    if option.holding is Holding.COMING:
-        return option.ready_in_s
-    if option.told_s is not None:
-        return option.told_s
-    is_warm = option.holding is Holding.RECENT
-    wait_s = option.opens_in_s + (WARM_LOAD_S if is_warm else COLD_LOAD_S)
+    if option.adapter_state is AdapterState.COMING:
+        return option.loaded_in_s
+    if option.keeper_estimate_s is not None:
+        return option.keeper_estimate_s
+    is_warm = option.adapter_state is AdapterState.RECENT
+    wait_s = option.keeper_wait_s + (WARM_LOAD_S if is_warm else COLD_LOAD_S)
     if option.free_places <= 0:
-        wait_s += NO_ROOM_S if option.idle_adapters > 0 else ALL_IN_USE_S
+        wait_s += EVICTION_COST_S if option.idle_adapters > 0 else ALL_IN_USE_WAIT_S
         wait_s += option.queued * option.turnover_s
     return wait_s
 
 
-def time_s(option: EngineOption) -> float:
+def expected_first_event_s(option: EngineOption) -> float:
     """Return when a request's first event is expected from an engine, in seconds."""
-    crossing_s = 0.0 if option.is_local else OTHER_DATA_CENTRE_S
-    return option.first_event_s + crossing_s + load_s(option)
+    crossing_s = 0.0 if option.is_local else CROSS_DATA_CENTRE_S
+    return option.first_event_s + crossing_s + expected_load_s(option)
 
 
-def copy_s(option: EngineOption, copies: Copies) -> float:
+def copy_cost_s(option: EngineOption, copies: AdapterCopies) -> float:
     """Return what another copy of the adapter counts for, in seconds."""
-    if option.holding in (Holding.RESIDENT, Holding.COMING):
+    if option.adapter_state in (AdapterState.RESIDENT, AdapterState.COMING):
         return 0.0
-    if option.holding is Holding.RECENT:
-        return FURTHER_WARM_COPY_S if copies.any_resident else 0.0
-    if copies.is_due:
-        return DUE_COPY_S + option.home_rank * HOME_STEP_S
+    if option.adapter_state is AdapterState.RECENT:
+        return EXTRA_WARM_COPY_COST_S if copies.any_resident else 0.0
+    if copies.is_below_desired:
+        return DESIRED_COPY_COST_S + option.home_rank * HOME_RANK_COST_S
     if copies.any_resident or copies.any_recent:
-        return FURTHER_COPY_S
-    return option.home_rank * HOME_STEP_S
+        return EXTRA_COPY_COST_S
+    return option.home_rank * HOME_RANK_COST_S
 
 
-def cost_s(option: EngineOption, copies: Copies) -> float:
+def total_cost_s(option: EngineOption, copies: AdapterCopies) -> float:
     """Return what sending a request to an engine counts for, in seconds."""
-    cost = time_s(option) + copy_s(option, copies)
+    cost = expected_first_event_s(option) + copy_cost_s(option, copies)
     if option.is_full:
-        cost += FULL_S
-    if option.was_barred:
-        cost += BARRED_S
+        cost += FULL_ENGINE_PENALTY_S
+    if option.has_failed_request:
+        cost += FAILED_ENGINE_PENALTY_S
     return cost
 
 
-def choose(
+def choose_engine(
     options: Sequence[EngineOption], left_s: float, copies_due: int = 1
-) -> Choice:
+) -> EngineChoice:
     """Return where a request goes.
 
     Parameters
@@ -221,16 +221,16 @@
     copies_due : int
         On how many engines its adapter should be by its share of all requests.
     """
-    open_to = [o for o in options if o.holding is Holding.RESIDENT or o.may_load]
+    open_to = [o for o in options if o.adapter_state is AdapterState.RESIDENT or o.may_load]
     if not open_to:
-        return Nowhere()
-    patience_s = left_s * PATIENCE
-    in_time = [o for o in open_to if time_s(o) <= patience_s]
+        return NoEngine()
+    patience_s = left_s * MAX_WAIT_SHARE
+    in_time = [o for o in open_to if expected_first_event_s(o) <= patience_s]
     if not in_time:
-        soonest_s = min(time_s(o) for o in open_to)
-        return TooBusy(max(soonest_s - patience_s, soonest_s * QUEUE_GONE))
-    copies = copies_of(options, copies_due)
-    best = min(in_time, key=lambda o: (cost_s(o, copies), o.target))
-    if best.holding is Holding.RESIDENT:
-        return Send(best.target, time_s(best))
-    return Load(best.target, time_s(best))
+        soonest_s = min(expected_first_event_s(o) for o in open_to)
+        return EnginesTooBusy(max(soonest_s - patience_s, soonest_s * RETRY_AFTER_SHARE))
+    copies = count_copies(options, copies_due)
+    best = min(in_time, key=lambda o: (total_cost_s(o, copies), o.target))
+    if best.adapter_state is AdapterState.RESIDENT:
+        return SendToEngine(best.target, expected_first_event_s(best))
+    return LoadOnEngine(best.target, expected_first_event_s(best))
--- a/packages/core/src/sardinequay_core/target_health.py
+++ b/packages/core/src/sardinequay_core/target_health.py
@@ -20,24 +20,24 @@
 from .shared_outcomes import OutcomeTally
 
 
-def turn_of(host: HostId) -> float:
+def trial_turn_of(host: HostId) -> float:
     """Return a number from 0 to 1 that parts the turns of hosts."""
     digest = blake2b(host.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") / (1 << 32)
 
 
-class Verdict(Enum):
+class AttemptResult(Enum):
     """What one attempt said of its target."""
 
-    GOOD = "good"
+    SUCCEEDED = "good"
     REJECTED = "rejected"
     FAILED = "failed"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     UNREACHABLE = "unreachable"
-    GONE = "gone"
+    CONNECTION_LOST = "gone"
 
 
-SILENCE_WEIGHT = 0.5
+TIMEOUT_WEIGHT = 0.5
 """How much a request whose time ran out counts against its target: it may have been the
 request. A target that is gone shows by connections that cannot be opened."""
 
@@ -66,20 +66,20 @@
 
     first_pause: timedelta = timedelta(seconds=0.5)
     longest_pause: timedelta = timedelta(seconds=4)
-    failure_memory: float = 0.8
-    tolerated: float = 0.35
-    full_for: timedelta = timedelta(seconds=0.1)
-    shared_pause: timedelta = timedelta(seconds=1)
-    least_usable: float = 0.34
+    failure_decay: float = 0.8
+    max_failure_rate: float = 0.35
+    full_duration: timedelta = timedelta(seconds=0.1)
+    shared_trial_interval: timedelta = timedelta(seconds=1)
+    min_usable_share: float = 0.34
 
 
 @dataclass(slots=True)
-class TargetRecord:
+class TargetHealthRecord:
     """What this host remembers of one target."""
 
     failure_rate: float = 0.0
     pauses: int = 0
-    out_until: Instant = ZERO
+    excluded_until: Instant = ZERO
     full_until: Instant = ZERO
     answered_at: Instant = ZERO
     is_unreachable: bool = False
@@ -99,44 +99,44 @@
     """
 
     policy: HealthPolicy = field(default_factory=HealthPolicy)
-    records: dict[TargetId, TargetRecord] = field(default_factory=dict)
+    records: dict[TargetId, TargetHealthRecord] = field(default_factory=dict)
     tally: OutcomeTally = field(default_factory=OutcomeTally)
-    turn: float = 0.0
-    hosts: int = 1
+    trial_turn: float = 0.0
+    host_count: int = 1
 
-    def record(self, target: TargetId) -> TargetRecord:
+    def get_record(self, target: TargetId) -> TargetHealthRecord:
         """Return the record of a target."""
-        return self.records.setdefault(target, TargetRecord())
+        return self.records.setdefault(target, TargetHealthRecord())
 
     def is_usable(self, target: TargetId, now: Instant) -> bool:
         """Return whether a request may go to a target now."""
-        if not self.is_shared_turn(target, now):
+        if not self.is_allowed_by_shared_outcomes(target, now):
             return False
         record = self.records.get(target)
         if record is None:
             return True
-        if now < record.out_until:
+        if now < record.excluded_until:
             return False
         return not (record.is_on_trial and record.has_trial_running)
 
-    def is_shared_turn(self, target: TargetId, now: Instant) -> bool:
+    def is_allowed_by_shared_outcomes(self, target: TargetId, now: Instant) -> bool:
         """Return whether hosts together trust a target, or it is this one's to try."""
-        if not self.tally.condemns(target, now):
+        if not self.tally.is_excluded(target, now):
             if target in self.records:
                 self.records[target].shared_trial_at = None
             return True
-        record = self.record(target)
+        record = self.get_record(target)
         if record.shared_trial_at is None:
-            round_s = self.policy.shared_pause * self.hosts
-            record.shared_trial_at = now + round_s * self.turn
+            round_s = self.policy.shared_trial_interval * self.host_count
+            record.shared_trial_at = now + round_s * self.trial_turn
         return now >= record.shared_trial_at
 
-    def usable(self, targets: Iterable[TargetId], now: Instant) -> frozenset[TargetId]:
+    def usable_targets(self, targets: Iterable[TargetId], now: Instant) -> frozenset[TargetId]:
         """Return the usable targets of a pool, or all reachable if hardly any is."""
         everything = frozenset(targets)
         chosen = frozenset(t for t in everything if self.is_usable(t, now))
         reachable = chosen | {t for t in everything if not self.is_unreachable(t)}
-        if len(chosen) < self.policy.least_usable * len(reachable):
+        if len(chosen) < self.policy.min_usable_share * len(reachable):
             return reachable
         return chosen or everything
 
@@ -150,14 +150,14 @@
         record = self.records.get(target)
         return record is not None and now < record.full_until
 
-    def sent(self, target: TargetId) -> None:
+    def record_sent(self, target: TargetId) -> None:
         """Note that a request goes to a target."""
-        record = self.record(target)
+        record = self.get_record(target)
         record.has_trial_running = record.is_on_trial
         if record.shared_trial_at is not None:
-            record.shared_trial_at += self.policy.shared_pause * self.hosts
+            record.shared_trial_at += self.policy.shared_trial_interval * self.host_count
 
-    def left(self, target: TargetId) -> None:
+    def record_request_end(self, target: TargetId) -> None:
         """Note that a request is no longer there, whatever became of it.
 
         One that was a trial and showed nothing, as its caller left, makes way for
@@ -167,62 +167,62 @@
         if record is not None:
             record.has_trial_running = False
 
-    def judge(
-        self, target: TargetId, verdict: Verdict, sent_at: Instant, now: Instant
+    def record_result(
+        self, target: TargetId, verdict: AttemptResult, sent_at: Instant, now: Instant
     ) -> bool:
         """Take what became of an attempt; return whether the target is now left out.
 
         Silence until a request's own time is over says nothing of a target that has
         answered others meanwhile: some requests take longer than they may.
         """
-        record = self.record(target)
+        record = self.get_record(target)
         record.has_trial_running = False
-        record.is_unreachable = verdict is Verdict.UNREACHABLE
-        if verdict is Verdict.REJECTED:
-            record.full_until = now + self.policy.full_for
+        record.is_unreachable = verdict is AttemptResult.UNREACHABLE
+        if verdict is AttemptResult.REJECTED:
+            record.full_until = now + self.policy.full_duration
             record.answered_at = now
             return False
-        if verdict is Verdict.GOOD:
+        if verdict is AttemptResult.SUCCEEDED:
             self.tally.note(target, now, good=1.0)
-            self.did_well(record, now)
+            self.record_success(record, now)
             return False
-        if verdict is Verdict.SILENT and record.answered_at > sent_at:
+        if verdict is AttemptResult.TIMED_OUT and record.answered_at > sent_at:
             return False
-        if verdict is Verdict.FAILED:
+        if verdict is AttemptResult.FAILED:
             self.tally.note(target, now, failed=1.0)
-        elif verdict is Verdict.SILENT:
-            self.tally.note(target, now, failed=SILENCE_WEIGHT)
-        return self.did_badly(record, verdict, now)
+        elif verdict is AttemptResult.TIMED_OUT:
+            self.tally.note(target, now, failed=TIMEOUT_WEIGHT)
+        return self.record_failure(record, verdict, now)
 
-    def did_well(self, record: TargetRecord, now: Instant) -> None:
+    def record_success(self, record: TargetHealthRecord, now: Instant) -> None:
         """Take a good answer."""
         record.answered_at = now
-        record.failure_rate *= self.policy.failure_memory
+        record.failure_rate *= self.policy.failure_decay
         record.is_on_trial = False
-        if record.failure_rate < self.policy.tolerated / 2:
+        if record.failure_rate < self.policy.max_failure_rate / 2:
             record.pauses = 0
 
-    def did_badly(self, record: TargetRecord, verdict: Verdict, now: Instant) -> bool:
+    def record_failure(self, record: TargetHealthRecord, verdict: AttemptResult, now: Instant) -> bool:
         """Take a failure; return whether the target is now left out."""
-        memory = self.policy.failure_memory
-        weight = SILENCE_WEIGHT if verdict is Verdict.SILENT else 1.0
+        memory = self.policy.failure_decay
+        weight = TIMEOUT_WEIGHT if verdict is AttemptResult.TIMED_OUT else 1.0
         record.failure_rate = record.failure_rate * memory + (1 - memory) * weight
-        is_certain = verdict in (Verdict.UNREACHABLE, Verdict.GONE)
+        is_certain = verdict in (AttemptResult.UNREACHABLE, AttemptResult.CONNECTION_LOST)
         if not (
             is_certain
             or record.is_on_trial
-            or record.failure_rate > self.policy.tolerated
+            or record.failure_rate > self.policy.max_failure_rate
         ):
             return False
-        self.leave_out(record, now)
+        self.exclude_target(record, now)
         return True
 
-    def leave_out(self, record: TargetRecord, now: Instant) -> None:
+    def exclude_target(self, record: TargetHealthRecord, now: Instant) -> None:
         """Leave a target out, for longer each time."""
-        if now < record.out_until:
+        if now < record.excluded_until:
             return
         pause = self.policy.first_pause * 2**record.pauses
-        record.out_until = now + min(pause, self.policy.longest_pause)
+        record.excluded_until = now + min(pause, self.policy.longest_pause)
         record.pauses = min(record.pauses + 1, 8)
         record.is_on_trial = True
 
@@ -231,7 +231,7 @@
         self.records.pop(target, None)
         self.tally.forget_target(target)
 
-    def forget(self, known: frozenset[TargetId]) -> None:
+    def prune_unlisted(self, known: frozenset[TargetId]) -> None:
         """Drop the records of targets that are no longer listed."""
         for target in tuple(self.records):
             if target not in known:
--- a/packages/core/tests/test_adapter_demand.py
+++ b/packages/core/tests/test_adapter_demand.py
@@ -7,17 +7,17 @@
 from sardinequay_core.adapter_demand import (
     AdapterDemand,
     Demand,
-    most_wanted,
+    popular_demand,
 )
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import HostId, TargetId
-from sardinequay_core.target_choice import EngineOption, Holding, Load, Send, choose
+from sardinequay_core.target_choice import EngineOption, AdapterState, LoadOnEngine, SendToEngine, choose_engine
 
 NOW = seconds(100)
 ENGINES = 39
 
 
-def option(number: int, holding: Holding, first_event_s: float, rank: int = 0):
+def option(number: int, holding: AdapterState, first_event_s: float, rank: int = 0):
     return EngineOption(
         TargetId(f"e{number:02}"),
         holding,
@@ -44,10 +44,10 @@
     hosts = hosts_with_skewed_callers(195, 900)
     hub = AdapterDemand()
     for number, host in enumerate(hosts):
-        hub.hear(HostId(f"h{number}"), host.own(NOW), NOW)
-    assert 7 <= hub.copies_due("m/a0", ENGINES, NOW) <= 14
-    assert 2 <= hub.copies_due("m/a2", ENGINES, NOW) <= 6
-    assert hub.copies_due("m/a500", ENGINES, NOW) == 1
+        hub.apply_peer_demand(HostId(f"h{number}"), host.own_demand(NOW), NOW)
+    assert 7 <= hub.desired_copies("m/a0", ENGINES, NOW) <= 14
+    assert 2 <= hub.desired_copies("m/a2", ENGINES, NOW) <= 6
+    assert hub.desired_copies("m/a500", ENGINES, NOW) == 1
 
 
 def test_host_far_from_the_callers_hears_enough_of_demand() -> None:
@@ -55,12 +55,12 @@
     hub, other = AdapterDemand(), AdapterDemand()
     names = [HostId(f"h{n}") for n in range(195)]
     for name, host in zip(names, hosts, strict=True):
-        hub.hear(name, host.own(NOW), NOW)
-    told = most_wanted(hub.sum_of(names, NOW), ENGINES)
-    other.hear_all(HostId("hub"), told, NOW)
+        hub.apply_peer_demand(name, host.own_demand(NOW), NOW)
+    told = popular_demand(hub.summed_demand(names, NOW), ENGINES)
+    other.apply_fleet_demand(HostId("hub"), told, NOW)
     assert len(told.by_adapter) < 20
-    due = hub.copies_due("m/a0", ENGINES, NOW)
-    assert other.copies_due("m/a0", ENGINES, NOW) == due
+    due = hub.desired_copies("m/a0", ENGINES, NOW)
+    assert other.desired_copies("m/a0", ENGINES, NOW) == due
 
 
 def test_demand_that_moved_on_is_forgotten() -> None:
@@ -70,40 +70,40 @@
     later = NOW + seconds(20)
     for _ in range(20):
         demand.note("m/new", later)
-    assert demand.copies_due("m/old", ENGINES, later) <= 6
-    assert demand.copies_due("m/new", ENGINES, later) >= 30
+    assert demand.desired_copies("m/old", ENGINES, later) <= 6
+    assert demand.desired_copies("m/new", ENGINES, later) >= 30
 
 
 def test_silent_peer_counts_no_more() -> None:
     demand = AdapterDemand()
-    demand.hear(HostId("h"), Demand(100, {"m/a": 100}), NOW)
-    assert demand.copies_due("m/a", ENGINES, NOW) > 1
-    assert demand.copies_due("m/a", ENGINES, NOW + seconds(4)) == 1
+    demand.apply_peer_demand(HostId("h"), Demand(100, {"m/a": 100}), NOW)
+    assert demand.desired_copies("m/a", ENGINES, NOW) > 1
+    assert demand.desired_copies("m/a", ENGINES, NOW + seconds(4)) == 1
 
 
 def test_nothing_known_asks_for_one_copy() -> None:
-    assert AdapterDemand().copies_due("m/a", ENGINES, NOW) == 1
+    assert AdapterDemand().desired_copies("m/a", ENGINES, NOW) == 1
 
 
 @pytest.mark.parametrize("due", [1, 8])
 def test_copy_is_made_before_the_queue_has_grown_by_seconds(due: int) -> None:
     """Replay the hottest adapter on two busy engines of six."""
     options = [
-        option(0, Holding.RESIDENT, 0.9),
-        option(1, Holding.RESIDENT, 0.9),
-        *(option(n, Holding.ABSENT, 0.1, rank=n) for n in range(2, 6)),
+        option(0, AdapterState.RESIDENT, 0.9),
+        option(1, AdapterState.RESIDENT, 0.9),
+        *(option(n, AdapterState.ABSENT, 0.1, rank=n) for n in range(2, 6)),
     ]
-    choice = choose(options, 4.0, due)
+    choice = choose_engine(options, 4.0, due)
     if due == 1:
-        assert isinstance(choice, Send)
+        assert isinstance(choice, SendToEngine)
     else:
-        assert isinstance(choice, Load)
+        assert isinstance(choice, LoadOnEngine)
         assert choice.target == "e02"
 
 
 def test_idle_engine_that_has_the_adapter_goes_before_a_due_copy() -> None:
     options = [
-        option(0, Holding.RESIDENT, 0.2),
-        option(1, Holding.ABSENT, 0.1, rank=1),
+        option(0, AdapterState.RESIDENT, 0.2),
+        option(1, AdapterState.ABSENT, 0.1, rank=1),
     ]
-    assert isinstance(choose(options, 4.0, 8), Send)
+    assert isinstance(choose_engine(options, 4.0, 8), SendToEngine)
--- a/packages/core/tests/test_keeper.py
+++ b/packages/core/tests/test_keeper.py
@@ -45,7 +45,7 @@
     """Have z wanted so much that x must go, while y is in demand."""
     for ticket in range(5):
         keeper.want(100 + ticket, Z, now + seconds(60), now)
-        keeper.queue.demand.add(Y, now, 10)
+        keeper.queue.demand.record_requests(Y, now, 10)
 
 
 def test_renewal_without_requests_returns_no_lease(
@@ -256,6 +256,6 @@
 
 
 def test_demand_for_idle_adapters_is_forgotten_in_time(keeper: Keeper) -> None:
-    keeper.queue.demand.add(Y, START)
+    keeper.queue.demand.record_requests(Y, START)
     keeper.tick(START + seconds(3600))
     assert Y not in keeper.queue.demand.counts
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -94,9 +94,9 @@
 
 def test_demand_halves_and_is_forgotten() -> None:
     demand = DemandTable(half_life=seconds(10))
-    demand.add(X, NOW, 8)
+    demand.record_requests(X, NOW, 8)
     assert demand.value(X, NOW + seconds(20)) == pytest.approx(2)
-    demand.forget_idle(NOW + seconds(200))
+    demand.prune_idle(NOW + seconds(200))
     assert demand.counts == {}
 
 
--- a/packages/core/tests/test_load_view.py
+++ b/packages/core/tests/test_load_view.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sardinequay_core.clock import seconds
-from sardinequay_core.load_view import IDLE, EngineShare, LoadView
+from sardinequay_core.load_view import NO_LOAD, EngineShare, LoadView
 from sardinequay_core.names import HostId, TargetId
 
 NOW = seconds(100)
@@ -26,66 +26,66 @@
             if random.random() < 0.5
         }
         if random.random() < 0.1:
-            view.forget(host)
+            view.forget_peer(host)
             told.pop(host, None)
         else:
-            view.hear(host, shares, NOW)
+            view.apply_peer_shares(host, shares, NOW)
             told[host] = shares
         for target in (E, F):
-            total = IDLE
+            total = NO_LOAD
             for theirs in told.values():
-                total = total.and_share(theirs.get(target, IDLE))
-            assert view.share(target, NOW) == total, step
+                total = total.merged_with(theirs.get(target, NO_LOAD))
+            assert view.total_share(target, NOW) == total, step
 
 
 def test_silent_peer_counts_no_more() -> None:
     view = LoadView()
-    view.hear(H1, {E: EngineShare(10, 1)}, NOW)
-    view.hear(H2, {E: EngineShare(5, 0)}, NOW + seconds(1))
-    assert view.share(E, NOW + seconds(1)) == EngineShare(15, 1)
-    assert view.share(E, NOW + seconds(2)) == EngineShare(5, 0)
-    assert view.share(E, NOW + seconds(3)) == IDLE
+    view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
+    view.apply_peer_shares(H2, {E: EngineShare(5, 0)}, NOW + seconds(1))
+    assert view.total_share(E, NOW + seconds(1)) == EngineShare(15, 1)
+    assert view.total_share(E, NOW + seconds(2)) == EngineShare(5, 0)
+    assert view.total_share(E, NOW + seconds(3)) == NO_LOAD
 
 
 def test_host_is_told_the_part_of_all_others() -> None:
     view = LoadView()
-    view.begin(E, 7)
-    view.hear(H1, {E: EngineShare(10, 1)}, NOW)
-    view.hear(H2, {F: EngineShare(0, 2)}, NOW)
-    assert view.all_but(H1, NOW) == {E: EngineShare(7, 0), F: EngineShare(0, 2)}
-    assert view.all_but(H2, NOW) == {E: EngineShare(17, 1)}
-    assert view.sum_of((H1,), NOW) == {E: EngineShare(17, 1)}
+    view.record_sent(E, 7)
+    view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
+    view.apply_peer_shares(H2, {F: EngineShare(0, 2)}, NOW)
+    assert view.shares_excluding(H1, NOW) == {E: EngineShare(7, 0), F: EngineShare(0, 2)}
+    assert view.shares_excluding(H2, NOW) == {E: EngineShare(17, 1)}
+    assert view.combined_shares((H1,), NOW) == {E: EngineShare(17, 1)}
 
 
 def test_sum_from_a_hub_replaces_all_parts() -> None:
     view = LoadView()
-    view.hear(H1, {E: EngineShare(10, 1)}, NOW)
-    view.hear_all(H2, {E: EngineShare(30, 2)}, NOW)
-    assert view.share(E, NOW) == EngineShare(30, 2)
+    view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
+    view.apply_fleet_shares(H2, {E: EngineShare(30, 2)}, NOW)
+    assert view.total_share(E, NOW) == EngineShare(30, 2)
 
 
 def fleet_of(hosts: int) -> tuple[LoadView, list[LoadView]]:
-    views = [LoadView(measures_together=True) for _ in range(hosts)]
-    return LoadView(measures_together=True), views
+    views = [LoadView(uses_fleet_pace=True) for _ in range(hosts)]
+    return LoadView(uses_fleet_pace=True), views
 
 
 def exchange(hub: LoadView, hosts: list[LoadView], now) -> None:
     """Let each host tell its part and hear the sum of the others'."""
     for number, host in enumerate(hosts):
-        hub.hear(HostId(f"h{number}"), host.to_tell(now), now)
+        hub.apply_peer_shares(HostId(f"h{number}"), host.own_shares(now), now)
     for number, host in enumerate(hosts):
-        host.hear_all(HostId("hub"), hub.all_but(HostId(f"h{number}"), now), now)
+        host.apply_fleet_shares(HostId("hub"), hub.shares_excluding(HostId(f"h{number}"), now), now)
 
 
 @pytest.mark.parametrize("slow", [1.0, 5.0])
 def test_engine_that_is_slow_for_a_few_hosts_is_slow_for_all(slow: float) -> None:
     """Replay an engine that reads five times slower, before forty hosts."""
     hub, hosts = fleet_of(40)
-    usual_s = hosts[0].usual_s(E, 1800, NOW)
+    usual_s = hosts[0].nominal_read_s(E, 1800, NOW)
     for host in hosts[:4]:
-        host.measured(E, usual_s, 0.02 + slow * usual_s, NOW)
+        host.record_pace(E, usual_s, 0.02 + slow * usual_s, NOW)
     exchange(hub, hosts, NOW)
-    paces = [host.pace_of(E, NOW) for host in hosts]
+    paces = [host.engine_pace(E, NOW) for host in hosts]
     if slow == 1.0:
         assert paces == pytest.approx([1.0] * 40, abs=0.1)
     else:
@@ -94,18 +94,18 @@
 
 def test_engine_that_is_fast_again_gets_requests_again() -> None:
     hub, hosts = fleet_of(40)
-    usual_s = hosts[0].usual_s(E, 1800, NOW)
+    usual_s = hosts[0].nominal_read_s(E, 1800, NOW)
     for host in hosts[:6]:
-        host.measured(E, usual_s, 0.02 + 5 * usual_s, NOW)
+        host.record_pace(E, usual_s, 0.02 + 5 * usual_s, NOW)
     later = NOW + seconds(6)
     for host in hosts[6:8]:
-        host.measured(E, usual_s, 0.02 + usual_s, later)
+        host.record_pace(E, usual_s, 0.02 + usual_s, later)
     exchange(hub, hosts, later)
-    assert max(host.pace_of(E, later) for host in hosts) < 1.8
+    assert max(host.engine_pace(E, later) for host in hosts) < 1.8
 
 
 def test_one_odd_measurement_changes_little() -> None:
     hub, hosts = fleet_of(3)
-    hosts[0].measured(E, 0.01, 0.05, NOW)
+    hosts[0].record_pace(E, 0.01, 0.05, NOW)
     exchange(hub, hosts, NOW)
-    assert hosts[1].pace_of(E, NOW) < 1.3
+    assert hosts[1].engine_pace(E, NOW) < 1.3
--- a/packages/core/tests/test_quota_book.py
+++ b/packages/core/tests/test_quota_ledger.py
@@ -14,7 +14,7 @@
     QuotaUnit,
     key_digest,
 )
-from sardinequay_core.quota_book import Admitted, OverQuota, QuotaBook, QuotaPolicy
+from sardinequay_core.quota_ledger import Admitted, OverQuota, QuotaBook, QuotaPolicy
 from sardinequay_core.usage_view import Told, Usage
 
 NAME = OrganisationName("north")
--- a/packages/core/tests/test_relay_decisions.py
+++ b/packages/core/tests/test_relay_decisions.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sardinequay_core.after_attempt import AttemptEnd, AttemptsSoFar, Next, next_step
+from sardinequay_core.retry_decision import AttemptEnd, AttemptsSoFar, Next, next_step
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.clock import ZERO, seconds
 from sardinequay_core.load_view import EngineShare, LoadView
@@ -20,7 +20,7 @@
 from sardinequay_core.repeat_budget import RepeatBudget, RepeatPolicy
 from sardinequay_core.residency import AdapterUses, Held, Residency
 from sardinequay_core.roster import Target, TargetKind
-from sardinequay_core.service_choice import ServiceOption, choose_service
+from sardinequay_core.service_choice import ServiceOption, choose_target
 from sardinequay_core.serving import Repetition
 
 LEFT = timedelta(seconds=1)
@@ -82,21 +82,21 @@
 
 def test_load_counts_own_and_peers_requests_and_forgets_silent_peers() -> None:
     view = LoadView()
-    view.begin(E, 2000)
-    view.hear(HostId("p"), {E: EngineShare(3000, 2)}, seconds(10))
-    assert view.share(E, seconds(10)) == EngineShare(5000, 2)
-    assert view.share(E, seconds(12)) == EngineShare(2000, 0)
-    view.first_event(E, 2000)
-    view.end(E, 2000, had_first_event=True)
-    assert view.share(E, seconds(12)) == EngineShare()
+    view.record_sent(E, 2000)
+    view.apply_peer_shares(HostId("p"), {E: EngineShare(3000, 2)}, seconds(10))
+    assert view.total_share(E, seconds(10)) == EngineShare(5000, 2)
+    assert view.total_share(E, seconds(12)) == EngineShare(2000, 0)
+    view.record_first_event(E, 2000)
+    view.record_end(E, 2000, had_first_event=True)
+    assert view.total_share(E, seconds(12)) == EngineShare()
 
 
 def test_slow_engine_is_learned() -> None:
     view = LoadView()
-    before = view.first_event_s(E, 2000, ZERO)
+    before = view.expected_first_event_s(E, 2000, ZERO)
     for _ in range(20):
-        view.measured(E, view.usual_s(E, 2000, ZERO), 0.5, ZERO)
-    assert view.first_event_s(E, 2000, ZERO) > 3 * before
+        view.record_pace(E, view.nominal_read_s(E, 2000, ZERO), 0.5, ZERO)
+    assert view.expected_first_event_s(E, 2000, ZERO) > 3 * before
 
 
 def service(name: str, in_work: int = 0, **more) -> ServiceOption:
@@ -105,11 +105,11 @@
 
 
 def test_least_filled_service_is_taken() -> None:
-    assert choose_service([service("a", 3), service("b", 1)]) == "b"
-    assert choose_service([service("a", 1), service("b", 0, is_local=False)]) == "b"
-    assert choose_service([service("a"), service("b", 0, is_local=False)]) == "a"
-    assert choose_service([service("a", was_tried=True), service("b", 5)]) == "b"
-    assert choose_service([]) is None
+    assert choose_target([service("a", 3), service("b", 1)]) == "b"
+    assert choose_target([service("a", 1), service("b", 0, is_local=False)]) == "b"
+    assert choose_target([service("a"), service("b", 0, is_local=False)]) == "a"
+    assert choose_target([service("a", was_tried=True), service("b", 5)]) == "b"
+    assert choose_target([]) is None
 
 
 @pytest.fixture
--- a/packages/core/tests/test_shared_outcomes.py
+++ b/packages/core/tests/test_shared_outcomes.py
@@ -5,7 +5,7 @@
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import HostId, TargetId
 from sardinequay_core.shared_outcomes import HALF_LIFE, Outcomes, OutcomeTally
-from sardinequay_core.target_health import TargetHealth, Verdict
+from sardinequay_core.target_health import TargetHealth, AttemptResult
 
 NOW = seconds(100)
 T = TargetId("t")
@@ -13,35 +13,35 @@
 
 
 def hosts(count: int) -> list[TargetHealth]:
-    return [TargetHealth(turn=i / count, hosts=count) for i in range(count)]
+    return [TargetHealth(trial_turn=i / count, host_count=count) for i in range(count)]
 
 
 def gossip(fleet: list[TargetHealth], now=NOW) -> None:
     """Let each host tell each other what it saw, once."""
-    told = [host.tally.to_tell(now) for host in fleet]
+    told = [host.tally.outcomes_to_report(now) for host in fleet]
     for me, host in enumerate(fleet):
         for other, outcomes in enumerate(told):
             if other != me:
-                host.tally.hear(HostId(f"h{other}"), outcomes, now)
+                host.tally.apply_peer_outcomes(HostId(f"h{other}"), outcomes, now)
 
 
 def test_target_that_fails_a_few_hosts_is_left_out_by_all() -> None:
     """Replay a grey target before sixty hosts: five fail, the others hear of it."""
     fleet = hosts(60)
     for host in fleet[:5]:
-        host.judge(T, Verdict.FAILED, NOW, NOW)
+        host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
     soon = NOW + seconds(0.5)
-    using = [h for h in fleet if T in h.usable((T, *OTHERS), soon)]
+    using = [h for h in fleet if T in h.usable_targets((T, *OTHERS), soon)]
     assert len(using) <= 2
 
 
 def test_good_answers_elsewhere_count_once_failures_are_heard_of() -> None:
     fleet = hosts(20)
     for host in fleet:
-        host.judge(T, Verdict.GOOD, NOW, NOW)
+        host.record_result(T, AttemptResult.SUCCEEDED, NOW, NOW)
     for host in fleet[:3]:
-        host.judge(T, Verdict.FAILED, NOW, NOW)
+        host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
     gossip(fleet)
     assert all(h.is_usable(T, NOW) for h in fleet[3:])
@@ -50,30 +50,30 @@
 def test_one_host_condemns_no_target_for_others() -> None:
     fleet = hosts(5)
     for _ in range(8):
-        fleet[0].judge(T, Verdict.FAILED, NOW, NOW)
+        fleet[0].record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
     assert all(h.is_usable(T, NOW) for h in fleet[1:])
 
 
 def test_paths_that_are_broken_are_not_told() -> None:
     health = TargetHealth()
-    health.judge(T, Verdict.UNREACHABLE, NOW, NOW)
-    assert not health.tally.to_tell(NOW)
+    health.record_result(T, AttemptResult.UNREACHABLE, NOW, NOW)
+    assert not health.tally.outcomes_to_report(NOW)
 
 
 def test_hosts_try_a_target_in_turn() -> None:
     fleet = hosts(10)
     for host in fleet[:4]:
-        host.judge(T, Verdict.FAILED, NOW, NOW)
+        host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
     tries = []
     for tenth in range(100):
         now = NOW + seconds(tenth / 10)
         for host in fleet[4:]:
-            host.tally.hear(HostId("hx"), {T: Outcomes(0, 4)}, now)
-            host.tally.hear(HostId("hy"), {T: Outcomes(0, 4)}, now)
+            host.tally.apply_peer_outcomes(HostId("hx"), {T: Outcomes(0, 4)}, now)
+            host.tally.apply_peer_outcomes(HostId("hy"), {T: Outcomes(0, 4)}, now)
             if host.is_usable(T, now):
-                host.sent(T)
+                host.record_sent(T)
                 tries.append(now)
     assert 4 <= len(tries) <= 8
 
@@ -81,7 +81,7 @@
 def test_failures_are_forgotten_by_and_by() -> None:
     fleet = hosts(4)
     for host in fleet:
-        host.judge(T, Verdict.FAILED, NOW, NOW)
+        host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
     later = NOW + HALF_LIFE
     assert all(h.is_usable(T, later) for h in fleet)
@@ -90,19 +90,19 @@
 @pytest.mark.parametrize("gone", ["host", "target"])
 def test_what_is_gone_is_forgotten(gone: str) -> None:
     tally = OutcomeTally()
-    tally.hear(HostId("h1"), {T: Outcomes(0, 9)}, NOW)
-    tally.hear(HostId("h2"), {T: Outcomes(0, 9)}, NOW)
-    assert tally.condemns(T, NOW)
+    tally.apply_peer_outcomes(HostId("h1"), {T: Outcomes(0, 9)}, NOW)
+    tally.apply_peer_outcomes(HostId("h2"), {T: Outcomes(0, 9)}, NOW)
+    assert tally.is_excluded(T, NOW)
     if gone == "host":
-        tally.forget(HostId("h2"))
+        tally.forget_peer(HostId("h2"))
     else:
         tally.forget_target(T)
-    assert not tally.condemns(T, NOW)
+    assert not tally.is_excluded(T, NOW)
 
 
 def test_peer_that_fell_silent_counts_no_more() -> None:
     tally = OutcomeTally()
     for host in ("h1", "h2"):
-        tally.hear(HostId(host), {T: Outcomes(0, 90)}, NOW)
-    assert tally.condemns(T, NOW + seconds(5))
-    assert not tally.condemns(T, NOW + seconds(7))
+        tally.apply_peer_outcomes(HostId(host), {T: Outcomes(0, 90)}, NOW)
+    assert tally.is_excluded(T, NOW + seconds(5))
+    assert not tally.is_excluded(T, NOW + seconds(7))
--- a/packages/core/tests/test_target_health.py
+++ b/packages/core/tests/test_target_health.py
@@ -4,7 +4,7 @@
 
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import TargetId
-from sardinequay_core.target_health import TargetHealth, Verdict
+from sardinequay_core.target_health import TargetHealth, AttemptResult
 
 A, B, C = (TargetId(t) for t in "abc")
 NOW = seconds(50)
@@ -16,51 +16,51 @@
 
 
 def test_unreachable_target_is_left_out_then_tried_with_one_request(health) -> None:
-    assert health.judge(A, Verdict.UNREACHABLE, NOW, NOW)
+    assert health.record_result(A, AttemptResult.UNREACHABLE, NOW, NOW)
     assert not health.is_usable(A, NOW + seconds(0.4))
     later = NOW + seconds(0.6)
     assert health.is_usable(A, later)
-    health.sent(A)
+    health.record_sent(A)
     assert not health.is_usable(A, later)
-    health.judge(A, Verdict.GOOD, later, later)
+    health.record_result(A, AttemptResult.SUCCEEDED, later, later)
     assert health.is_usable(A, later)
 
 
 def test_pauses_double_while_trials_fail(health) -> None:
-    health.judge(A, Verdict.UNREACHABLE, NOW, NOW)
-    health.judge(A, Verdict.FAILED, NOW + seconds(0.6), NOW + seconds(0.6))
+    health.record_result(A, AttemptResult.UNREACHABLE, NOW, NOW)
+    health.record_result(A, AttemptResult.FAILED, NOW + seconds(0.6), NOW + seconds(0.6))
     assert not health.is_usable(A, NOW + seconds(1.5))
     assert health.is_usable(A, NOW + seconds(1.7))
 
 
 def test_part_of_the_requests_failing_leaves_a_target_out(health) -> None:
-    ends = [Verdict.GOOD, Verdict.FAILED, Verdict.FAILED, Verdict.FAILED]
-    assert any(health.judge(A, end, NOW, NOW) for end in ends)
+    ends = [AttemptResult.SUCCEEDED, AttemptResult.FAILED, AttemptResult.FAILED, AttemptResult.FAILED]
+    assert any(health.record_result(A, end, NOW, NOW) for end in ends)
 
 
 def test_one_failure_among_many_does_not(health) -> None:
-    ends = [Verdict.GOOD] * 6 + [Verdict.FAILED] + [Verdict.GOOD] * 3
-    assert not any(health.judge(A, end, NOW, NOW) for end in ends)
+    ends = [AttemptResult.SUCCEEDED] * 6 + [AttemptResult.FAILED] + [AttemptResult.SUCCEEDED] * 3
+    assert not any(health.record_result(A, end, NOW, NOW) for end in ends)
 
 
 def test_full_target_is_not_left_out(health) -> None:
-    assert not health.judge(A, Verdict.REJECTED, NOW, NOW)
+    assert not health.record_result(A, AttemptResult.REJECTED, NOW, NOW)
     assert health.is_full(A, NOW + seconds(0.05))
     assert not health.is_full(A, NOW + seconds(0.2))
 
 
 def test_pool_of_which_hardly_any_is_left_is_used_whole(health) -> None:
     for target in (A, B, C):
-        health.judge(target, Verdict.UNREACHABLE, NOW, NOW)
-    assert health.usable((A, B, C), NOW) == {A, B, C}
-    assert TargetHealth().usable((A, B), NOW) == {A, B}
+        health.record_result(target, AttemptResult.UNREACHABLE, NOW, NOW)
+    assert health.usable_targets((A, B, C), NOW) == {A, B, C}
+    assert TargetHealth().usable_targets((A, B), NOW) == {A, B}
 
 
 def test_silence_counts_unless_the_target_answered_others_meanwhile(health) -> None:
     for _ in range(5):
-        health.judge(A, Verdict.GOOD, NOW, NOW + seconds(0.2))
-        assert not health.judge(A, Verdict.SILENT, NOW, NOW + seconds(0.4))
-    ends = [health.judge(B, Verdict.SILENT, NOW, NOW + seconds(0.4)) for _ in range(8)]
+        health.record_result(A, AttemptResult.SUCCEEDED, NOW, NOW + seconds(0.2))
+        assert not health.record_result(A, AttemptResult.TIMED_OUT, NOW, NOW + seconds(0.4))
+    ends = [health.record_result(B, AttemptResult.TIMED_OUT, NOW, NOW + seconds(0.4)) for _ in range(8)]
     assert not any(ends[:3])
     assert any(ends)
 
@@ -70,16 +70,16 @@
     health = TargetHealth()
     targets = tuple(TargetId(t) for t in "abcde")
     for target in targets[1:]:
-        health.judge(target, Verdict.UNREACHABLE, NOW, NOW)
-    assert health.usable(targets, NOW) == {targets[0]}
-    assert health.usable(targets[1:], NOW) == set(targets[1:])
+        health.record_result(target, AttemptResult.UNREACHABLE, NOW, NOW)
+    assert health.usable_targets(targets, NOW) == {targets[0]}
+    assert health.usable_targets(targets[1:], NOW) == set(targets[1:])
 
 
 def test_failures_of_all_that_are_reachable_leave_none_of_them_out() -> None:
     health = TargetHealth()
     targets = tuple(TargetId(t) for t in "abcd")
-    health.judge(targets[3], Verdict.UNREACHABLE, NOW, NOW)
+    health.record_result(targets[3], AttemptResult.UNREACHABLE, NOW, NOW)
     for target in targets[:3]:
         for _ in range(6):
-            health.judge(target, Verdict.FAILED, NOW, NOW)
-    assert health.usable(targets, NOW) == set(targets[:3])
+            health.record_result(target, AttemptResult.FAILED, NOW, NOW)
+    assert health.usable_targets(targets, NOW) == set(targets[:3])
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -6,11 +6,11 @@
 
 import aiohttp
 
-from sardinequay_core.after_attempt import AttemptEnd
+from sardinequay_core.retry_decision import AttemptEnd
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.clock import Clock, seconds
 from sardinequay_core.names import AdapterRef
-from sardinequay_core.target_health import Verdict
+from sardinequay_core.target_health import AttemptResult
 
 from .errors import TargetError, TargetFault
 from .exchange import AnswerHead, Exchange, Sink
@@ -88,20 +88,20 @@
         """Count the attempt in."""
         loads = self.state.loads
         now = self.clock.monotonic()
-        self.expected_s = loads.first_event_s(self.target_id, self.tokens, now)
-        self.usual_s = loads.usual_s(self.target_id, self.tokens, now)
-        loads.begin(self.target_id, self.tokens)
+        self.expected_s = loads.expected_first_event_s(self.target_id, self.tokens, now)
+        self.usual_s = loads.nominal_read_s(self.target_id, self.tokens, now)
+        loads.record_sent(self.target_id, self.tokens)
         if not self.tokens:
             self.first_event()
         if self.adapter is not None:
             count = self.state.uses.change(self.target_id, self.adapter, 1)
             self.parts.wants.tell_use(self.target_id, self.adapter, count)
-        self.state.health.sent(self.target_id)
+        self.state.health.record_sent(self.target_id)
 
     def leave(self) -> None:
         """Count the attempt out."""
-        self.state.loads.end(self.target_id, self.tokens, self.has_first)
-        self.state.health.left(self.target_id)
+        self.state.loads.record_end(self.target_id, self.tokens, self.has_first)
+        self.state.health.record_request_end(self.target_id)
         if self.adapter is not None and self.is_same_start():
             count = self.state.uses.change(self.target_id, self.adapter, -1)
             if not count:
@@ -116,11 +116,11 @@
         """Count the prompt as read."""
         if not self.has_first:
             self.has_first = True
-            self.state.loads.first_event(self.target_id, self.tokens)
+            self.state.loads.record_first_event(self.target_id, self.tokens)
 
-    def judge(self, verdict: Verdict) -> None:
+    def judge(self, verdict: AttemptResult) -> None:
         """Let the attempt's end count for or against the target."""
-        is_out = self.state.health.judge(
+        is_out = self.state.health.record_result(
             self.target_id, verdict, self.sent_at, self.clock.monotonic()
         )
         if is_out:
@@ -201,12 +201,12 @@
         if facts.is_misdirected:
             end = AttemptEnd.MISDIRECTED
             if facts.instance and facts.instance != self.target_id:
-                self.judge(Verdict.GONE)
+                self.judge(AttemptResult.CONNECTION_LOST)
             elif self.adapter is not None and self.is_same_start():
                 self.state.residency.deny(self.published, self.adapter)
                 self.parts.wants.tell_missing(self.published, self.adapter)
         else:
-            self.judge(Verdict.REJECTED)
+            self.judge(AttemptResult.REJECTED)
         log.info(
             "attempt rejected",
             extra={
@@ -227,15 +227,15 @@
             end = AttemptEnd.BROKEN_OFF
         if error.fault is TargetFault.NOT_SENT:
             end = AttemptEnd.NOT_SENT
-            self.judge(Verdict.UNREACHABLE)
+            self.judge(AttemptResult.UNREACHABLE)
         elif error.fault is TargetFault.LOST_ON_KEPT:
             # Targets close connections that they kept at any moment: that alone says
             # nothing against one.
             end = AttemptEnd.LOST_ON_KEPT
         elif error.fault is TargetFault.SILENT:
-            self.judge(Verdict.SILENT)
+            self.judge(AttemptResult.TIMED_OUT)
         else:
-            self.judge(Verdict.FAILED)
+            self.judge(AttemptResult.FAILED)
         log.info(
             "attempt failed",
             extra={
@@ -260,7 +260,7 @@
         exchange = self.exchange
         is_failure = answer.status >= SERVER_ERROR
         if is_failure:
-            self.judge(Verdict.FAILED)
+            self.judge(AttemptResult.FAILED)
             so_far = exchange.so_far.after(AttemptEnd.MAY_HAVE_RUN)
             if exchange.has_begun or (
                 exchange.route.repetition.may_run_again
@@ -273,7 +273,7 @@
             await self.pass_whole(answer, sink)
         if not is_failure:
             self.was_served = True
-            self.judge(Verdict.GOOD)
+            self.judge(AttemptResult.SUCCEEDED)
         return None
 
     async def begin(self, answer: aiohttp.ClientResponse, sink: Sink) -> None:
@@ -323,7 +323,7 @@
     def learn_pace(self) -> None:
         """Learn how fast the engine reads from when its first event came."""
         now = self.clock.monotonic()
-        self.state.loads.measured(self.target_id, self.usual_s, self.taken_s(), now)
+        self.state.loads.record_pace(self.target_id, self.usual_s, self.taken_s(), now)
 
 
 class Body:
--- a/packages/daemon/src/sardinequay_daemon/caller_gate.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_gate.py
@@ -10,7 +10,7 @@
 from sardinequay_core.clock import seconds
 from sardinequay_core.organisations import Organisation
 from sardinequay_core.outcome import Reason, Refusal, not_run
-from sardinequay_core.quota_book import Admitted, OverQuota
+from sardinequay_core.quota_ledger import Admitted, OverQuota
 from sardinequay_core.serving import Route, ServingConfig
 
 from .progress import Refused
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from datetime import timedelta
 
-from sardinequay_core.adapter_demand import NO_DEMAND, Demand, most_wanted
+from sardinequay_core.adapter_demand import NO_DEMAND, Demand, popular_demand
 from sardinequay_core.clock import Clock, Instant, seconds
 from sardinequay_core.fleet_topology import Scope, scope_to_tell
 from sardinequay_core.names import HostId
@@ -107,14 +107,14 @@
         loads = self.state.loads
         return replace(
             digest,
-            shares=dict(loads.own) if self.fleet.is_mesh else loads.to_tell(now),
+            shares=dict(loads.own) if self.fleet.is_mesh else loads.own_shares(now),
             uses=self.state.adapter_uses(),
             holdings=self.untold_holdings(
                 host_id, self.orders.recent_holdings(), TELL_AGAIN
             ),
-            outcomes=self.state.health.tally.to_tell(now),
+            outcomes=self.state.health.tally.outcomes_to_report(now),
             usage=self.untold_usage(host_id, Scope.HOST),
-            demand=NO_DEMAND if self.fleet.is_mesh else self.state.demand.own(now),
+            demand=NO_DEMAND if self.fleet.is_mesh else self.state.demand.own_demand(now),
         )
 
     def of_data_centre(self, digest: Digest, peer: Peer) -> Digest:
@@ -125,10 +125,10 @@
         uses = self.state.uses_of(here, peer.contact.data_centre)
         return replace(
             digest,
-            shares=self.state.loads.sum_of(here, now),
+            shares=self.state.loads.combined_shares(here, now),
             uses=uses,
             holdings=self.untold_holdings(host_id, self.orders.recent_holdings(), None),
-            outcomes=self.state.health.tally.sum_of(here, now),
+            outcomes=self.state.health.tally.summed_outcomes(here, now),
             usage=self.untold_usage(host_id, Scope.DATA_CENTRE),
             demand=self.most_wanted(here, now),
             live_hosts=self.fleet.live_hosts_here(),
@@ -141,9 +141,9 @@
         known = (*self.orders.recent_holdings(), *self.orders.holdings_elsewhere(now))
         return replace(
             digest,
-            shares=self.state.loads.all_but(host_id, now),
+            shares=self.state.loads.shares_excluding(host_id, now),
             holdings=self.untold_holdings(host_id, known, None),
-            outcomes=self.state.health.tally.sum_of(others, now),
+            outcomes=self.state.health.tally.summed_outcomes(others, now),
             usage=self.untold_usage(host_id, Scope.FLEET),
             demand=self.most_wanted(others, now),
             live_hosts=self.fleet.live_hosts,
@@ -152,8 +152,8 @@
 
     def most_wanted(self, hosts: Iterable[HostId], now: Instant) -> Demand:
         """Return the demand of this host and some others that copies depend on."""
-        demand = self.state.demand.sum_of(hosts, now)
-        return most_wanted(demand, len(self.state.catalogue.targets))
+        demand = self.state.demand.summed_demand(hosts, now)
+        return popular_demand(demand, len(self.state.catalogue.targets))
 
     def take_digest(self, heard: HeardDigest) -> None:
         """Notice that a peer started anew, or missed what it was told."""
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -8,7 +8,7 @@
 import aiohttp
 from opentelemetry.trace import Span
 
-from sardinequay_core.after_attempt import AttemptsSoFar
+from sardinequay_core.retry_decision import AttemptsSoFar
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.names import PoolName, TargetId
 from sardinequay_core.organisations import Organisation
--- a/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
@@ -5,7 +5,7 @@
 from sardinequay_core.catalogue import Catalogue
 from sardinequay_core.clock import Clock, seconds
 from sardinequay_core.names import HostId
-from sardinequay_core.quota_book import QuotaBook, QuotaPolicy
+from sardinequay_core.quota_ledger import QuotaBook, QuotaPolicy
 from sardinequay_core.usage_view import Told
 
 from .fleet_size import FleetSize
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -219,7 +219,7 @@
         heard = told.holdings if told is not None else None
         if heard is not None and heard.incarnation >= book.incarnation:
             book.incarnation = heard.incarnation
-            book.times.inherit(parse_adapter_ref(t).unwrap() for t in heard.recent)
+            book.times.restore_recent(parse_adapter_ref(t).unwrap() for t in heard.recent)
         engine = self.ordered[target_id] = OrderedEngine(published, book)
         engine.task = asyncio.create_task(self.order_engine(engine))
 
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -3,13 +3,13 @@
 import asyncio
 import logging
 
-from sardinequay_core.after_attempt import AttemptEnd, Next, next_step
+from sardinequay_core.retry_decision import AttemptEnd, Next, next_step
 from sardinequay_core.clock import ZERO, Instant
 from sardinequay_core.names import TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run
 from sardinequay_core.repeat_budget import RepeatUse
 from sardinequay_core.serving import Repetition
-from sardinequay_core.target_health import Verdict
+from sardinequay_core.target_health import AttemptResult
 
 from .attempt import Attempt, RelayParts
 from .content_guard import ContentGuard
@@ -84,7 +84,7 @@
         exchange.guarded.may_have_run = True
         left_s = exchange.left(self.clock.monotonic()).total_seconds()
         if not await self.guard.settled(exchange.guarded, left_s):
-            lost.judge(Verdict.FAILED)
+            lost.judge(AttemptResult.FAILED)
             return AttemptEnd.MAY_HAVE_RUN
         if not await self.guard.may_run(exchange.guarded):
             return AttemptEnd.MAY_HAVE_RUN
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -13,7 +13,7 @@
 from sardinequay_core.content import content_id
 from sardinequay_core.organisations import Organisation
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
-from sardinequay_core.quota_book import Admitted
+from sardinequay_core.quota_ledger import Admitted
 from sardinequay_core.serving import CallerLimits, Route, ServingConfig
 
 from .caller_answer import CallerAnswer
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -12,7 +12,7 @@
 from sardinequay_core.catalogue import Catalogue
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
 from sardinequay_core.fleet_topology import Scope
-from sardinequay_core.load_view import PEER_SHARE_LIFE, LoadView
+from sardinequay_core.load_view import PEER_SHARE_EXPIRY, LoadView
 from sardinequay_core.names import (
     AdapterRef,
     HostId,
@@ -105,7 +105,7 @@
                 self.forget_start(target_id)
         self.quotas.take_catalogue(before, catalogue)
         known = frozenset(catalogue.targets)
-        self.health.forget(known)
+        self.health.prune_unlisted(known)
         self.residency.forget(known)
 
     def forget_start(self, target_id: TargetId) -> None:
@@ -117,8 +117,8 @@
     def take_digest(self, heard: HeardDigest) -> None:
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
         digest = heard.digest
-        self.loads.measures_together = not self.fleet.is_mesh
-        self.loads.peer_life = max(PEER_SHARE_LIFE, self.fleet.longest_silence())
+        self.loads.uses_fleet_pace = not self.fleet.is_mesh
+        self.loads.peer_expiry = max(PEER_SHARE_EXPIRY, self.fleet.longest_silence())
         match digest.scope:
             case Scope.HOST | Scope.DATA_CENTRE if self.gathers():
                 self.take_part(heard)
@@ -141,9 +141,9 @@
             self.view_from = None
         if digest.scope is Scope.DATA_CENTRE:
             self.lose_behind(digest.host)
-        self.loads.hear(host_id, digest.shares, now)
-        self.health.tally.hear(host_id, digest.outcomes, now)
-        self.demand.hear(host_id, digest.demand, now)
+        self.loads.apply_peer_shares(host_id, digest.shares, now)
+        self.health.tally.apply_peer_outcomes(host_id, digest.outcomes, now)
+        self.demand.apply_peer_demand(host_id, digest.demand, now)
         self.quotas.take_part(heard)
         uses = {(u.target, u.adapter): u.count for u in digest.uses}
         self.uses.replace(host_id, uses)
@@ -165,9 +165,9 @@
         host_id = digest.host.host_id
         self.view_from = host_id
         self.view_at = now
-        self.loads.hear_all(host_id, digest.shares, now)
-        self.health.tally.hear_all(host_id, digest.outcomes, now)
-        self.demand.hear_all(host_id, digest.demand, now)
+        self.loads.apply_fleet_shares(host_id, digest.shares, now)
+        self.health.tally.apply_fleet_outcomes(host_id, digest.outcomes, now)
+        self.demand.apply_fleet_demand(host_id, digest.demand, now)
         self.quotas.take_sum(heard)
         for peer in tuple(self.uses.peers):
             self.uses.forget(peer)
@@ -203,10 +203,10 @@
 
     def lose_peer(self, host_id: HostId) -> None:
         """Drop the share of a peer that is gone."""
-        self.loads.forget(host_id)
-        self.health.tally.forget(host_id)
+        self.loads.forget_peer(host_id)
+        self.health.tally.forget_peer(host_id)
         self.uses.forget(host_id)
-        self.demand.forget(host_id)
+        self.demand.forget_peer(host_id)
         self.quotas.forget(host_id)
 
     def adapter_uses(self) -> tuple[AdapterUse, ...]:
@@ -290,4 +290,4 @@
         listed = self.catalogue.targets.get(target_id)
         if listed is None or self.health.is_full(target_id, now):
             return True
-        return self.loads.share(target_id, now).running >= listed.slots
+        return self.loads.total_share(target_id, now).running >= listed.slots
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -14,7 +14,7 @@
 from sardinequay_core.names import Address, HostId
 from sardinequay_core.order_lease import Ballot, OrderPolicy, Resign
 from sardinequay_core.repeat_budget import SLACK_AFTER
-from sardinequay_core.target_health import turn_of
+from sardinequay_core.target_health import trial_turn_of
 
 from .attempt import RelayParts
 from .caller_gate import CallerGate
@@ -145,7 +145,7 @@
             slack_from=ZERO if profile.is_first_start else began + SLACK_AFTER,
         )
         self.state.quotas.take_policy(bounds.quotas)
-        self.state.health.turn = turn_of(profile.host_id)
+        self.state.health.trial_turn = trial_turn_of(profile.host_id)
         self.lease = OrderLeaseTask(
             profile.host_id,
             profile.data_centre,
--- a/packages/daemon/src/sardinequay_daemon/serving_ports.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_ports.py
@@ -16,7 +16,7 @@
 from sardinequay_core.names import Address, DataCentre, HostId
 from sardinequay_core.organisations import KeyDigest
 from sardinequay_core.outcome import Refusal
-from sardinequay_core.quota_book import QuotaPolicy
+from sardinequay_core.quota_ledger import QuotaPolicy
 from sardinequay_core.repeat_budget import RepeatPolicy
 from sardinequay_core.roster import Target
 
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -8,7 +8,7 @@
 from sardinequay_core.rendezvous import rank
 from sardinequay_core.residency import Held
 from sardinequay_core.service_choice import ServiceOption
-from sardinequay_core.target_choice import EngineOption, Holding
+from sardinequay_core.target_choice import EngineOption, AdapterState
 
 from .relay_state import Keeper, RelayState
 from .serving_ports import RequestTerms
@@ -23,8 +23,8 @@
     def usable(self, pool: PoolName, now: Instant) -> list[PublishedTarget]:
         """Return the targets of a pool that requests may go to."""
         live = self.state.catalogue.live(pool)
-        self.state.health.hosts = self.state.fleet.live_hosts
-        usable = self.state.health.usable((t.target.target_id for t in live), now)
+        self.state.health.host_count = self.state.fleet.live_hosts
+        usable = self.state.health.usable_targets((t.target.target_id for t in live), now)
         return [t for t in live if t.target.target_id in usable]
 
     def engine_options(
@@ -82,12 +82,12 @@
         places = pool.adapter_places(published.models) if pool else 0
         return EngineOption(
             target=target_id,
-            holding=holding,
-            first_event_s=self.state.loads.first_event_s(
+            adapter_state=holding,
+            first_event_s=self.state.loads.expected_first_event_s(
                 target_id, terms.prompt_tokens, now
             ),
             is_local=target.data_centre == self.state.data_centre,
-            ready_in_s=ready_in_s,
+            loaded_in_s=ready_in_s,
             free_places=places - len(held.adapters) - len(held.coming),
             idle_adapters=self.idle_adapters(target_id, held),
             queued=held.queued,
@@ -98,10 +98,10 @@
             may_load=keeper is not None
             and bool(terms.adapter)
             and terms.model in published.models,
-            opens_in_s=keeper.orders_in_s if keeper else 0.0,
+            keeper_wait_s=keeper.orders_in_s if keeper else 0.0,
             is_full=self.state.health.is_full(target_id, now),
-            was_barred=was_barred,
-            told_s=told_s,
+            has_failed_request=was_barred,
+            keeper_estimate_s=told_s,
         )
 
     def idle_adapters(self, target_id: TargetId, held: Held) -> int:
@@ -122,19 +122,19 @@
         held: Held,
         terms: RequestTerms,
         now: Instant,
-    ) -> tuple[Holding, float]:
+    ) -> tuple[AdapterState, float]:
         """Return whether an engine has what a request needs, and when if it comes."""
         if not terms.adapter:
             has_model = not terms.model or terms.model in published.models
-            return (Holding.RESIDENT if has_model else Holding.ABSENT), 0.0
+            return (AdapterState.RESIDENT if has_model else AdapterState.ABSENT), 0.0
         wanted = self.state.wanted(terms)
         if self.state.residency.resident(published, wanted) is not None:
-            return Holding.RESIDENT, 0.0
+            return AdapterState.RESIDENT, 0.0
         coming_at = self.state.residency.coming_at(published, wanted)
         if coming_at is not None:
-            return Holding.COMING, max(0.0, (coming_at - now).total_seconds())
+            return AdapterState.COMING, max(0.0, (coming_at - now).total_seconds())
         is_recent = str(wanted) in held.recent
-        return (Holding.RECENT if is_recent else Holding.ABSENT), 0.0
+        return (AdapterState.RECENT if is_recent else AdapterState.ABSENT), 0.0
 
     def copies_due(self, terms: RequestTerms, engines: int) -> int:
         """Return on how many engines a request's adapter should be.
@@ -143,7 +143,7 @@
         """
         if self.state.fleet.is_mesh or not terms.adapter:
             return 1
-        return self.state.demand.copies_due(
+        return self.state.demand.desired_copies(
             terms.adapter, engines, self.state.clock.monotonic()
         )
 
@@ -158,12 +158,12 @@
             options.append(
                 ServiceOption(
                     target=target_id,
-                    in_work=self.state.loads.share(target_id, now).running,
+                    in_flight=self.state.loads.total_share(target_id, now).running,
                     slots=published.slots,
                     is_local=published.target.data_centre == self.state.data_centre,
                     is_full=self.state.health.is_full(target_id, now),
                     was_tried=target_id in tried,
-                    spread=self.state.random.random(),
+                    tie_breaker=self.state.random.random(),
                 )
             )
         return options
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -9,14 +9,14 @@
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.names import AdapterRef, TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run
-from sardinequay_core.service_choice import choose_service
+from sardinequay_core.service_choice import choose_target
 from sardinequay_core.target_choice import (
-    PATIENCE,
-    Load,
-    Nowhere,
-    Send,
-    TooBusy,
-    choose,
+    MAX_WAIT_SHARE,
+    LoadOnEngine,
+    NoEngine,
+    SendToEngine,
+    EnginesTooBusy,
+    choose_engine,
 )
 
 from .attempt import RelayParts
@@ -81,7 +81,7 @@
     def choose_service(self, exchange: Exchange) -> PublishedTarget:
         """Return the target of a plain service with the least to do."""
         options = self.options.service_options(exchange.pool, exchange.tried)
-        found = choose_service(options)
+        found = choose_target(options)
         if found is None:
             raise Refused(self.no_target(exchange))
         self.log_choice(exchange, found, "least filled", len(options))
@@ -133,8 +133,8 @@
             )
             left_s = exchange.first_event_left_s(now)
             due = self.options.copies_due(terms, len(options))
-            choice = choose(options, left_s, due)
-            if isinstance(choice, Send):
+            choice = choose_engine(options, left_s, due)
+            if isinstance(choice, SendToEngine):
                 self.log_choice(
                     exchange,
                     choice.target,
@@ -143,7 +143,7 @@
                     choice.expected_s,
                 )
                 return self.state.catalogue.targets[choice.target]
-            if not isinstance(choice, Load):
+            if not isinstance(choice, LoadOnEngine):
                 raise Refused(self.no_engine(exchange, choice, left_s))
             reply = await self.wait_for_load(exchange, choice.target, left_s)
             if reply.is_ready:
@@ -155,16 +155,16 @@
             told[choice.target] = now + seconds(reply.expected_s or UNKNOWN_WAIT_S)
             failed_asks += 1
             if failed_asks >= MAX_FAILED_ASKS:
-                busy = TooBusy(min(time_left(told, now).values()))
+                busy = EnginesTooBusy(min(time_left(told, now).values()))
                 raise Refused(self.no_engine(exchange, busy, left_s))
 
     def no_engine(
-        self, exchange: Exchange, choice: TooBusy | Nowhere, left_s: float
+        self, exchange: Exchange, choice: EnginesTooBusy | NoEngine, left_s: float
     ) -> Refusal:
         """Return the refusal of a request that no engine can begin in time."""
         if exchange.so_far.runs:
             return may_have_run()
-        if isinstance(choice, TooBusy):
+        if isinstance(choice, EnginesTooBusy):
             text = f"no engine can begin within {left_s:.2f} s"
             wait = come_back(self.state.random, seconds(choice.wait_s))
             return not_run(Reason.OVERLOADED, text, wait)
@@ -181,25 +181,25 @@
         wanted = self.state.wanted(exchange.terms)
         route = exchange.route
         loads, terms = self.state.loads, exchange.terms
-        reading_s = loads.first_event_s(target, terms.prompt_tokens, began)
+        reading_s = loads.expected_first_event_s(target, terms.prompt_tokens, began)
         goal_s = (exchange.arrived + route.goal - began).total_seconds() - reading_s
         ask = WantAdapter(
             target,
             wanted,
             worth_of(exchange.priority),
             goal_s,
-            left_s * PATIENCE,
+            left_s * MAX_WAIT_SHARE,
             exchange.waited_s(began),
             LOOK_AGAIN_S,
         )
         # Its prompt counts there as work that waits. Uncounted, prompts that wait for
         # adapters all go to the engine that looks idle, and move on when their loads
         # are there, which then serve nobody.
-        loads.begin(target, terms.prompt_tokens)
+        loads.record_sent(target, terms.prompt_tokens)
         try:
             reply = await self.wants.ask(ask)
         finally:
-            loads.end(target, terms.prompt_tokens, had_first_event=False)
+            loads.record_end(target, terms.prompt_tokens, had_first_event=False)
         took = (self.clock.monotonic() - began).total_seconds()
         self.metrics.load_wait.observe({}, took)
         log.info(
@@ -236,7 +236,7 @@
         expected_s: float = 0.0,
     ) -> None:
         """Log where a request goes and from what that was decided."""
-        share = self.state.loads.share(target, self.clock.monotonic())
+        share = self.state.loads.total_share(target, self.clock.monotonic())
         log.info(
             "target chosen",
             extra={
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -33,11 +33,11 @@
     QuotaUnit,
 )
 from sardinequay_core.quarantine import TargetEnd
-from sardinequay_core.quota_book import Admitted
+from sardinequay_core.quota_ledger import Admitted
 from sardinequay_core.rendezvous import rank
 from sardinequay_core.repeat_budget import RepeatPolicy
 from sardinequay_core.roster import Target, TargetKind
-from sardinequay_core.target_health import Verdict
+from sardinequay_core.target_health import AttemptResult
 from sardinequay_core.usage_view import Usage
 from sardinequay_daemon.content_news import take_news
 from sardinequay_daemon.digest_writer import DigestWriter
@@ -247,11 +247,11 @@
 
 
 def test_requests_of_one_host_are_known_to_all_within_a_second(world: World) -> None:
-    world.hosts[7].state.loads.begin(E, 500)
+    world.hosts[7].state.loads.record_sent(E, 500)
     world.pass_time(1)
     now = world.clock.monotonic()
     for host in world.hosts:
-        assert host.state.loads.share(E, now) == EngineShare(500, 0), host.me
+        assert host.state.loads.total_share(E, now) == EngineShare(500, 0), host.me
 
 
 def test_each_request_counts_once_while_they_come_and_go(world: World) -> None:
@@ -259,39 +259,39 @@
     counts: Counter[int] = Counter()
     for _ in range(20):
         for host in random.sample(world.hosts, 10):
-            host.state.loads.begin(E, 100)
+            host.state.loads.record_sent(E, 100)
             counts[world.hosts.index(host)] += 1
         world.pass_time(0.2)
     world.pass_time(1)
     now = world.clock.monotonic()
     total = 100 * sum(counts.values())
-    assert {h.state.loads.share(E, now).unread_tokens for h in world.hosts} == {total}
+    assert {h.state.loads.total_share(E, now).unread_tokens for h in world.hosts} == {total}
     for index, count in counts.items():
         for _ in range(count):
-            world.hosts[index].state.loads.end(E, 100, had_first_event=False)
+            world.hosts[index].state.loads.record_end(E, 100, had_first_event=False)
     world.pass_time(1)
     now = world.clock.monotonic()
-    assert {h.state.loads.share(E, now) for h in world.hosts} == {EngineShare()}
+    assert {h.state.loads.total_share(E, now) for h in world.hosts} == {EngineShare()}
 
 
 def test_target_that_fails_at_a_few_hosts_is_left_out_by_all(world: World) -> None:
     """Replay an engine that fails a third of its requests before fifty hosts."""
     for host in world.hosts[:6]:
         now = world.clock.monotonic()
-        host.state.health.judge(E, Verdict.FAILED, now, now)
+        host.state.health.record_result(E, AttemptResult.FAILED, now, now)
     world.pass_time(1)
     now = world.clock.monotonic()
-    believers = [h for h in world.hosts if not h.state.health.tally.condemns(E, now)]
+    believers = [h for h in world.hosts if not h.state.health.tally.is_excluded(E, now)]
     assert not believers
 
 
 def test_failures_at_one_host_condemn_nothing(world: World) -> None:
     for _ in range(9):
         now = world.clock.monotonic()
-        world.hosts[3].state.health.judge(E, Verdict.FAILED, now, now)
+        world.hosts[3].state.health.record_result(E, AttemptResult.FAILED, now, now)
     world.pass_time(1)
     now = world.clock.monotonic()
-    assert not any(h.state.health.tally.condemns(E, now) for h in world.hosts)
+    assert not any(h.state.health.tally.is_excluded(E, now) for h in world.hosts)
 
 
 def test_what_engines_hold_is_known_to_all_within_a_second(world: World) -> None:
@@ -328,7 +328,7 @@
 
 def test_lost_hub_is_replaced_and_what_is_known_stays(world: World) -> None:
     """Replay the loss of the host that orders a data centre's engines."""
-    world.hosts[7].state.loads.begin(E, 500)
+    world.hosts[7].state.loads.record_sent(E, 500)
     world.pass_time(1)
     lost = world.holder("zc")
     lost.is_down = True
@@ -336,13 +336,13 @@
     now = world.clock.monotonic()
     here = world.live("zc")
     assert all(h.fleet.lease_holder() is None for h in here)
-    assert all(h.state.loads.share(E, now).unread_tokens == 500 for h in here)
+    assert all(h.state.loads.total_share(E, now).unread_tokens == 500 for h in here)
     here[0].orders.lease.is_holder = True
     world.pass_time(2)
     now = world.clock.monotonic()
     for host in world.hosts:
         if not host.is_down:
-            assert host.state.loads.share(E, now) == EngineShare(500, 0), host.me
+            assert host.state.loads.total_share(E, now) == EngineShare(500, 0), host.me
             assert host.fleet.live_hosts == 49
     assert all(h.fleet.hub() == here[0].me for h in here)
 
@@ -356,7 +356,7 @@
 
 
 def test_data_centre_that_is_cut_off_counts_itself_alone(world: World) -> None:
-    world.hosts[4].state.loads.begin(E, 700)  # In the data centre that is cut off.
+    world.hosts[4].state.loads.record_sent(E, 700)  # In the data centre that is cut off.
     world.pass_time(1)
     world.cut.add("ze")
     world.pass_time(4)
@@ -364,8 +364,8 @@
     outside = [h for h in world.hosts if h.me.data_centre != "ze"]
     assert {h.fleet.live_hosts for h in outside} == {40}
     assert {h.fleet.live_hosts for h in world.live("ze")} == {10}
-    assert {h.state.loads.share(E, now) for h in outside} == {EngineShare()}
-    assert {h.state.loads.share(E, now).unread_tokens for h in world.live("ze")} == {
+    assert {h.state.loads.total_share(E, now) for h in outside} == {EngineShare()}
+    assert {h.state.loads.total_share(E, now).unread_tokens for h in world.live("ze")} == {
         700
     }
     world.cut.clear()
--- a/packages/lab/src/sardinequay_lab/quota_policies.py
+++ b/packages/lab/src/sardinequay_lab/quota_policies.py
@@ -9,7 +9,7 @@
 from sardinequay_core.fleet_topology import Scope
 from sardinequay_core.names import HostId
 from sardinequay_core.organisations import OrganisationName
-from sardinequay_core.quota_book import Admitted, QuotaBook, QuotaPolicy
+from sardinequay_core.quota_ledger import Admitted, QuotaBook, QuotaPolicy
 from sardinequay_core.usage_view import Counts, Told
 
 from .quota_world import ORGANISATION, REACH_LOST_S, Scenario
--- a/packages/lab/src/sardinequay_lab/quota_replay.py
+++ b/packages/lab/src/sardinequay_lab/quota_replay.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from sardinequay_core.clock import seconds
-from sardinequay_core.quota_book import QuotaPolicy
+from sardinequay_core.quota_ledger import QuotaPolicy
 
 from .quota_policies import FixedShares, LeasedAllowance, SharedUsage
 from .quota_world import Policy, Result, Scenario, Span, replay
--- a/packages/lab/src/sardinequay_lab/quota_world.py
+++ b/packages/lab/src/sardinequay_lab/quota_world.py
@@ -19,7 +19,7 @@
     Quota,
     QuotaUnit,
 )
-from sardinequay_core.quota_book import QuotaPolicy
+from sardinequay_core.quota_ledger import QuotaPolicy
 from sardinequay_daemon.hub_table import HUB_PERIOD_PER_HOST_S, HUB_PERIOD_S
 from sardinequay_daemon.peer_table import OTHER_HUB_ALIVE_FOR
 
--- a/packages/lab/src/sardinequay_lab/slopes.py
+++ b/packages/lab/src/sardinequay_lab/slopes.py
@@ -281,7 +281,7 @@
         if isinstance(command, OrderLoad):
             keeper.load_done(command.use, timedelta(0), NOW)
     for n in range(wanted):
-        keeper.queue.demand.add(AdapterRef(f"w{n}", "1"), NOW)
+        keeper.queue.demand.record_requests(AdapterRef(f"w{n}", "1"), NOW)
     return keeper
 
 
