--- a/packages/core/src/sardinequay_core/adapter_demand.py
+++ b/packages/core/src/sardinequay_core/adapter_demand.py
@@ -66,7 +66,7 @@
     counted_at: Instant = ZERO
     peers: dict[HostId, tuple[Demand, Instant]] = field(default_factory=dict)
 
-    def note(self, adapter: str, now: Instant) -> None:
+    def record_request(self, adapter: str, now: Instant) -> None:
         """Count one request."""
         self.decay(now)
         self.counts[adapter] = self.counts.get(adapter, 0.0) + 1.0
--- a/packages/core/src/sardinequay_core/admission.py
+++ b/packages/core/src/sardinequay_core/admission.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 MAX_PRIORITY = 9
-OVERLOAD_RETRY = timedelta(seconds=1)
+OVERLOAD_RETRY_AFTER = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,15 +31,15 @@
     policy: AdmissionPolicy
     in_flight: int = 0
 
-    def places(self, priority: int) -> float:
+    def capacity(self, priority: int) -> float:
         """Return how many places requests of a priority may fill."""
         reserved = self.policy.max_in_flight * self.policy.reserved_share
         open_to_all = self.policy.max_in_flight - reserved
         return open_to_all + reserved * priority / MAX_PRIORITY
 
-    def enter(self, priority: int) -> bool:
+    def try_enter(self, priority: int) -> bool:
         """Count a request in if there is a place for its priority."""
-        if self.in_flight >= self.places(priority):
+        if self.in_flight >= self.capacity(priority):
             return False
         self.in_flight += 1
         return True
@@ -80,11 +80,11 @@
     policy: RetryPolicy
     saved: float = 1.0
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Earn a share of a retry."""
         self.saved = min(self.policy.max_saved, self.saved + self.policy.ratio)
 
-    def spend(self, attempts: int) -> bool:
+    def try_spend(self, attempts: int) -> bool:
         """Return whether a request with so many attempts may make another."""
         if attempts >= self.policy.max_attempts or self.saved < 1:
             return False
--- a/packages/core/src/sardinequay_core/demand.py
+++ b/packages/core/src/sardinequay_core/demand_table.py
@@ -21,7 +21,7 @@
     counts: dict[AdapterRef, tuple[float, Instant]] = field(default_factory=dict)
     pruned_at: Instant = ZERO
 
-    def value(self, adapter: AdapterRef, now: Instant) -> float:
+    def decayed_count(self, adapter: AdapterRef, now: Instant) -> float:
         """Return the decayed count of requests for an adapter."""
         found = self.counts.get(adapter)
         if found is None:
@@ -31,13 +31,13 @@
 
     def record_requests(self, adapter: AdapterRef, now: Instant, count: float = 1.0) -> None:
         """Count requests for an adapter."""
-        self.counts[adapter] = (self.value(adapter, now) + count, now)
+        self.counts[adapter] = (self.decayed_count(adapter, now) + count, now)
 
     def prune_idle(self, now: Instant) -> None:
         """Drop adapters that nobody has asked for in a long time, now and then."""
         if now - self.pruned_at < self.half_life:
             return
         self.pruned_at = now
-        idle = [a for a in self.counts if self.value(a, now) < MIN_COUNT]
+        idle = [a for a in self.counts if self.decayed_count(a, now) < MIN_COUNT]
         for adapter in idle:
             del self.counts[adapter]
--- a/packages/core/src/sardinequay_core/engine_book.py
+++ b/packages/core/src/sardinequay_core/engine_book.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from .clock import ZERO, Instant, seconds
-from .demand import DemandTable
+from .demand_table import DemandTable
 from .engine_orders import (
     AskReport,
     EngineStatus,
@@ -411,7 +411,7 @@
         self, adapter: AdapterRef, now: Instant
     ) -> tuple[float, Instant, AdapterRef]:
         """Return what adapters are ranked by; the least makes way first."""
-        return self.demand.value(adapter, now), self.used_at[adapter], adapter
+        return self.demand.decayed_count(adapter, now), self.used_at[adapter], adapter
 
     def rest_s(self, now: Instant) -> float:
         """Return how long nothing can change by itself."""
--- a/packages/core/src/sardinequay_core/fleet_share.py
+++ b/packages/core/src/sardinequay_core/fleet_share.py
@@ -10,7 +10,7 @@
 
 from .clock import Instant, seconds
 
-KEEP_COUNTED = seconds(30)
+HOST_RETENTION = seconds(30)
 """How long hosts that fell silent keep their part: longer than a cut that must be
 borne."""
 
@@ -30,17 +30,17 @@
         as no later one exceeds.
     """
 
-    counted: deque[tuple[Instant, int]] = field(default_factory=deque)
+    live_counts: deque[tuple[Instant, int]] = field(default_factory=deque)
 
-    def count(self, live: int, now: Instant) -> None:
+    def record_live_hosts(self, live: int, now: Instant) -> None:
         """Count the live hosts."""
-        while self.counted and self.counted[-1][1] <= live:
-            self.counted.pop()
-        self.counted.append((now, live))
-        while self.counted[0][0] < now - KEEP_COUNTED:
-            self.counted.popleft()
+        while self.live_counts and self.live_counts[-1][1] <= live:
+            self.live_counts.pop()
+        self.live_counts.append((now, live))
+        while self.live_counts[0][0] < now - HOST_RETENTION:
+            self.live_counts.popleft()
 
-    def hosts(self, live: int, contacts: int) -> int:
+    def recent_hosts(self, live: int, contacts: int) -> int:
         """Return how many hosts lived lately.
 
         Parameters
@@ -48,9 +48,9 @@
         contacts : int
             Hosts, alive or not, that a host takes to exist that has just started.
         """
-        lately = self.counted[0][1] if self.counted else 1
+        lately = self.live_counts[0][1] if self.live_counts else 1
         return max(live, lately, contacts)
 
-    def part(self, live: int, contacts: int) -> float:
+    def reachable_share(self, live: int, contacts: int) -> float:
         """Return the part of the hosts in touch; for `contacts` see `hosts`."""
-        return live / self.hosts(live, contacts)
+        return live / self.recent_hosts(live, contacts)
--- a/packages/core/src/sardinequay_core/fleet_topology.py
+++ b/packages/core/src/sardinequay_core/fleet_topology.py
@@ -15,12 +15,12 @@
 
 from .names import HostId
 
-FEW_HOSTS = 25
+MAX_MESH_HOSTS = 25
 """Hosts up to which the fleet is a mesh: what each tells is then fresher than over a
 hub, and costs no more than a hub spends."""
 
 
-class Scope(Enum):
+class DigestScope(Enum):
     """Whose requests a digest speaks of."""
 
     NOBODY = 0
@@ -31,10 +31,10 @@
 
 def is_mesh(hosts: int) -> bool:
     """Return whether a fleet of so many hosts is a mesh."""
-    return hosts <= FEW_HOSTS
+    return hosts <= MAX_MESH_HOSTS
 
 
-def scope_to_tell(hub: HostId, me: HostId, peer: HostId, peer_is_near: bool) -> Scope:
+def digest_scope(hub: HostId, me: HostId, peer: HostId, peer_is_near: bool) -> DigestScope:
     """Return what one host of a large fleet tells another.
 
     Parameters
@@ -45,5 +45,5 @@
         Whether the other is in the teller's data centre.
     """
     if hub == me:
-        return Scope.FLEET if peer_is_near else Scope.DATA_CENTRE
-    return Scope.HOST if hub == peer else Scope.NOBODY
+        return DigestScope.FLEET if peer_is_near else DigestScope.DATA_CENTRE
+    return DigestScope.HOST if hub == peer else DigestScope.NOBODY
--- a/packages/core/src/sardinequay_core/load_queue.py
+++ b/packages/core/src/sardinequay_core/load_queue.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from .clock import ZERO, Instant, seconds
-from .demand import DemandTable
+from .demand_table import DemandTable
 from .names import AdapterRef
 
 MAX_BACKOFF_DOUBLINGS = 5
@@ -83,7 +83,7 @@
         """
         waiting = self.waiting.get(adapter)
         count = (len(waiting.deadlines) if waiting else 0) + extra
-        value = self.demand.value(adapter, now)
+        value = self.demand.decayed_count(adapter, now)
         return self.policy.stall_weight * (count + value) + (
             self.policy.batch_weight * value
         )
--- a/packages/core/src/sardinequay_core/load_view.py
+++ b/packages/core/src/sardinequay_core/load_view.py
@@ -111,10 +111,10 @@
     own_pace: dict[TargetId, float] = field(default_factory=dict)
     peer_expiry: timedelta = PEER_SHARE_EXPIRY
     next_expiry: Instant = ZERO
-    uses_fleet_pace: bool = False
+    has_fleet_pace: bool = False
     pace_measurements: PaceMeasurements = field(default_factory=PaceMeasurements)
 
-    def record_sent(self, target: TargetId, tokens: int) -> None:
+    def record_dispatch(self, target: TargetId, tokens: int) -> None:
         """Count a request in that is on its way to an engine."""
         self.own[target] = self.own.get(target, NO_LOAD).with_added(tokens, 0)
 
@@ -224,7 +224,7 @@
 
         In a small fleet a host sends each engine requests enough to know by itself.
         """
-        if not self.uses_fleet_pace:
+        if not self.has_fleet_pace:
             return self.own_pace.get(target, 1.0)
         heard = self.peer_total.get(target, NO_LOAD)
         seen = self.pace_measurements.measurement_of(target, now)
@@ -260,7 +260,7 @@
         """
         usual_s = max(usual_s, 0.001)
         took_s = max(took_s - BASE_LATENCY_S, 0.001)
-        self.pace_measurements.note(target, usual_s, took_s, now)
+        self.pace_measurements.record_measurement(target, usual_s, took_s, now)
         seen = min(MAX_PACE, max(MIN_PACE, took_s / usual_s))
         old = self.own_pace.get(target, 1.0)
         self.own_pace[target] = old * PACE_DECAY + seen * (1 - PACE_DECAY)
--- a/packages/core/src/sardinequay_core/outcome.py
+++ b/packages/core/src/sardinequay_core/outcome.py
@@ -104,7 +104,7 @@
         return HTTP_STATUS.get(self.reason, DEFAULT_STATUS)
 
 
-def not_run(
+def not_run_refusal(
     reason: Reason, message: str, retry_after: timedelta | None = None
 ) -> Refusal:
     """Return a refusal given before any byte left for a target."""
--- a/packages/core/src/sardinequay_core/quarantine.py
+++ b/packages/core/src/sardinequay_core/quarantine.py
@@ -44,13 +44,13 @@
         Contents that are kept; some 750 bytes each, 0.8 MB together as measured.
     """
 
-    held_from: int = 2
+    min_ends_to_hold: int = 2
     first_hold: timedelta = timedelta(seconds=5)
     long_hold: timedelta = timedelta(minutes=10)
-    most_ends: int = 8
-    same_end: timedelta = timedelta.max
-    remember: timedelta = timedelta(hours=1)
-    most_contents: int = 1024
+    max_ends: int = 8
+    same_end_span: timedelta = timedelta.max
+    retention: timedelta = timedelta(hours=1)
+    max_contents: int = 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     cleared_at: Instant | None = None
     changed_at: Instant = ZERO
     held_until: Instant | None = None
-    number: int = 0
+    change_number: int = 0
 
 
 @dataclass(slots=True)
@@ -99,11 +99,11 @@
 
     policy: QuarantinePolicy = field(default_factory=QuarantinePolicy)
     suspicions: dict[ContentId, Suspicion] = field(default_factory=dict)
-    number: int = 0
+    last_change_number: int = 0
 
     # What comes in.
 
-    def add(self, content: ContentId, end: TargetEnd, now: Instant) -> bool:
+    def record_target_end(self, content: ContentId, end: TargetEnd, now: Instant) -> bool:
         """Take that a target ended under such a request; return whether that is new.
 
         Parameters
@@ -115,41 +115,41 @@
         if known is not None:
             if known.cleared_at is not None and end.at <= known.cleared_at:
                 return False
-            if self.take_again(known, end):
+            if self.merge_known_end(known, end):
                 return False
         else:
-            self.make_room()
+            self.evict_least_suspect()
             known = self.suspicions[content] = Suspicion()
         known.ends.append(end)
         known.ends.sort(key=lambda e: e.at)
-        del known.ends[: -self.policy.most_ends]
-        self.note_change(known, now)
+        del known.ends[: -self.policy.max_ends]
+        self.record_change(known, now)
         return True
 
-    def take_again(self, known: Suspicion, end: TargetEnd) -> bool:
+    def merge_known_end(self, known: Suspicion, end: TargetEnd) -> bool:
         """Return whether an end is known, and keep the earliest moment told of it.
 
         What a cut or a freeze held up arrives with the age that it had before, and so
         seems later than it was. Taken for another end, one end held its contents.
         """
         for place, other in enumerate(known.ends):
-            if self.is_same(end, other):
+            if self.is_same_end(end, other):
                 if end.at < other.at:
                     known.ends[place] = end
                     known.ends.sort(key=lambda e: e.at)
-                    known.held_until = self.hold_end(known.ends)
+                    known.held_until = self.hold_expiry(known.ends)
                 return True
         return False
 
-    def is_same(self, end: TargetEnd, other: TargetEnd) -> bool:
+    def is_same_end(self, end: TargetEnd, other: TargetEnd) -> bool:
         """Return whether two witnesses tell of one end."""
         return (
             end.target == other.target
             and end.incarnation == other.incarnation
-            and abs(end.at - other.at) < self.policy.same_end
+            and abs(end.at - other.at) < self.policy.same_end_span
         )
 
-    def clear(self, content: ContentId, at: Instant, now: Instant) -> bool:
+    def clear_content(self, content: ContentId, at: Instant, now: Instant) -> bool:
         """Take that a request was answered, or an operator let it go.
 
         Returns whether that changes anything.
@@ -163,19 +163,19 @@
         known.cleared_at = at
         known.ends = [e for e in known.ends if e.at > at]
         if was_suspect:
-            self.note_change(known, now)
+            self.record_change(known, now)
         return was_suspect
 
-    def note_change(self, known: Suspicion, now: Instant) -> None:
+    def record_change(self, known: Suspicion, now: Instant) -> None:
         """Give a change its number."""
-        self.number += 1
-        known.number = self.number
+        self.last_change_number += 1
+        known.change_number = self.last_change_number
         known.changed_at = now
-        known.held_until = self.hold_end(known.ends)
+        known.held_until = self.hold_expiry(known.ends)
 
     # What follows from it.
 
-    def ends(self, content: ContentId) -> tuple[TargetEnd, ...]:
+    def ends_of(self, content: ContentId) -> tuple[TargetEnd, ...]:
         """Return the ends that count against a content, the oldest first."""
         known = self.suspicions.get(content)
         return tuple(known.ends) if known is not None else ()
@@ -185,9 +185,9 @@
         known = self.suspicions.get(content)
         return known.held_until if known is not None else None
 
-    def hold_end(self, ends: Sequence[TargetEnd]) -> Instant | None:
+    def hold_expiry(self, ends: Sequence[TargetEnd]) -> Instant | None:
         """Return until when ends, the last one last, hold a content."""
-        further = len(ends) - self.policy.held_from
+        further = len(ends) - self.policy.min_ends_to_hold
         if further < 0:
             return None
         hold = self.policy.first_hold
@@ -195,16 +195,16 @@
             hold = self.policy.long_hold * 2 ** (further - 1)
         return ends[-1].at + hold
 
-    def hold_left(self, content: ContentId, now: Instant) -> timedelta:
+    def remaining_hold(self, content: ContentId, now: Instant) -> timedelta:
         """Return how long a content is still held; nothing if it is not."""
         until = self.held_until(content)
         return max(ZERO, until - now) if until is not None else ZERO
 
     def is_suspect(self, content: ContentId) -> bool:
         """Return whether any end counts against a content."""
-        return bool(self.ends(content))
+        return bool(self.ends_of(content))
 
-    def held(self, now: Instant) -> tuple[ContentId, ...]:
+    def held_contents(self, now: Instant) -> tuple[ContentId, ...]:
         """Return the contents that are held."""
         return tuple(
             c
@@ -216,26 +216,26 @@
 
     def changed_since(self, number: int, most: int) -> tuple[ContentId, ...]:
         """Return the contents that changed after a change, the oldest change first."""
-        if number >= self.number:
+        if number >= self.last_change_number:
             return ()
-        changed = [c for c, s in self.suspicions.items() if s.number > number]
-        changed.sort(key=lambda c: self.suspicions[c].number)
+        changed = [c for c, s in self.suspicions.items() if s.change_number > number]
+        changed.sort(key=lambda c: self.suspicions[c].change_number)
         return tuple(changed[:most])
 
     # Bounds.
 
-    def make_room(self) -> None:
+    def evict_least_suspect(self) -> None:
         """Forget the content with the least against it, the oldest of them."""
-        while len(self.suspicions) >= self.policy.most_contents:
+        while len(self.suspicions) >= self.policy.max_contents:
             least = min(
                 self.suspicions.items(),
                 key=lambda item: (len(item[1].ends), item[1].changed_at),
             )
             del self.suspicions[least[0]]
 
-    def expire(self, now: Instant) -> None:
+    def expire_suspicions(self, now: Instant) -> None:
         """Forget contents of which nothing was heard for long."""
         for content, known in tuple(self.suspicions.items()):
             until = known.held_until or known.changed_at
-            if now - max(until, known.changed_at) > self.policy.remember:
+            if now - max(until, known.changed_at) > self.policy.retention:
                 del self.suspicions[content]
--- a/packages/core/src/sardinequay_core/quota_ledger.py
+++ b/packages/core/src/sardinequay_core/quota_ledger.py
@@ -19,32 +19,32 @@
 from .clock import ZERO, Instant, seconds
 from .names import HostId
 from .organisations import Organisation, OrganisationName, Quota
-from .usage_view import Told, Usage, UsageView
+from .usage_view import ReportedUsage, Usage, UsageView
 
-USED_OVER = 0.2
+USED_RATE_EXCESS = 0.2
 """Part of the tolerated excess of the rate that is used, so that requests within the
 quota are not refused for an estimate that is a little high."""
 
-USED_SLACK = 0.4
+USED_BURST_SLACK = 0.4
 """The same for the tolerated excess in a window."""
 
-HORIZON_S = 1.5
+CORRECTION_HORIZON_S = 1.5
 """In this time what is left may be used up, and what is overdrawn is made up for, in
 seconds: a few times the age of what is known, so that hosts do not sway together."""
 
-OWN_MEMORY_S = 2.0
+DEMAND_TIME_CONSTANT_S = 2.0
 """Time constant of what this host is asked for, in seconds: requests of one
 organisation come to one host seconds apart."""
 
-CHEAP_PART = 0.25
+CHEAP_COST_SHARE = 0.25
 """A request that costs less than this part of the usual one of its organisation is let
 through while the quota is not far overdrawn: many of them take few tokens, and all that
 an organisation gets for its quota grows by them."""
 
-USUAL_OVER = 20
+MEAN_COST_REQUESTS = 20
 """Requests over which the usual cost is reckoned."""
 
-FEW = 1e-9
+EPSILON = 1e-9
 WINDOW = seconds(8)
 
 
@@ -63,18 +63,18 @@
     """
 
     window: timedelta = WINDOW
-    over: float = 0.25
+    rate_excess: float = 0.25
     slack: float = 0.0
 
     def rate_per_s(self, quota: Quota) -> float:
         """Return what is admitted a second."""
-        return quota.rate_per_s * (1 + self.over * USED_OVER)
+        return quota.rate_per_s * (1 + self.rate_excess * USED_RATE_EXCESS)
 
     def burst(self, quota: Quota) -> float:
         """Return what is admitted at once after a pause."""
-        return quota.burst + self.slack * USED_SLACK
+        return quota.burst + self.slack * USED_BURST_SLACK
 
-    def largest(self, quota: Quota) -> float:
+    def max_cost(self, quota: Quota) -> float:
         """Return the largest request that fits a window."""
         return quota.rate_per_s * self.window.total_seconds() + self.burst(quota)
 
@@ -105,14 +105,14 @@
     organisation: OrganisationName
     cost: int
     rate_per_s: float
-    left: float
+    remaining: float
     asked_per_s: float
-    known: timedelta
-    come_back: timedelta | None
+    data_age: timedelta
+    retry_after: timedelta | None
 
 
 @dataclass(slots=True)
-class Account:
+class QuotaAccount:
     """What is left of one organisation's quota, as this host estimates it.
 
     Parameters
@@ -128,29 +128,29 @@
     """
 
     quota: Quota
-    at: Instant
+    settled_at: Instant
     carry: float
-    left: float = 0.0
+    remaining: float = 0.0
     asked: float = 0.0
     asked_at: Instant = ZERO
-    usual_cost: float = 0.0
-    seen: int = 0
+    mean_cost: float = 0.0
+    cost_samples: int = 0
 
     def own_asked_per_s(self, now: Instant) -> float:
         """Return what this host is asked for a second."""
         aged_s = (now - self.asked_at).total_seconds()
-        return self.asked * math.exp(-aged_s / OWN_MEMORY_S) / OWN_MEMORY_S
+        return self.asked * math.exp(-aged_s / DEMAND_TIME_CONSTANT_S) / DEMAND_TIME_CONSTANT_S
 
-    def note_asked(self, cost: int, now: Instant) -> None:
+    def record_asked(self, cost: int, now: Instant) -> None:
         """Count what this host is asked for."""
-        self.asked = self.own_asked_per_s(now) * OWN_MEMORY_S + cost
+        self.asked = self.own_asked_per_s(now) * DEMAND_TIME_CONSTANT_S + cost
         self.asked_at = now
-        self.seen = min(self.seen + 1, USUAL_OVER)
-        self.usual_cost += (cost - self.usual_cost) / self.seen
+        self.cost_samples = min(self.cost_samples + 1, MEAN_COST_REQUESTS)
+        self.mean_cost += (cost - self.mean_cost) / self.cost_samples
 
 
 @dataclass(slots=True)
-class QuotaBook:
+class QuotaLedger:
     """The accounts of all organisations on one host.
 
     Parameters
@@ -163,61 +163,61 @@
         while others, known to have lived lately, may use the rest out of touch.
     """
 
-    draw: Callable[[], float]
+    draw_random: Callable[[], float]
     policy: QuotaPolicy = field(default_factory=QuotaPolicy)
     usage: UsageView = field(default_factory=UsageView)
-    accounts: dict[OrganisationName, Account] = field(default_factory=dict)
+    accounts: dict[OrganisationName, QuotaAccount] = field(default_factory=dict)
     share: float = 1.0
 
     # What comes in.
 
-    def take_organisations(
+    def apply_organisations(
         self, organisations: tuple[Organisation, ...], now: Instant
     ) -> None:
         """Take the quotas in force; what was used stays counted."""
         quotas = {o.name: o.quota for o in organisations if o.quota is not None}
         for name in [n for n in self.accounts if n not in quotas]:
             del self.accounts[name]
-            self.usage.opened_at.pop(name, None)
+            self.usage.added_at.pop(name, None)
         for name, quota in quotas.items():
             account = self.accounts.get(name)
             if account is None:
                 # Empty: another host may have used the burst just now.
-                self.accounts[name] = Account(quota, now, self.draw())
-                self.usage.opened_at[name] = now
+                self.accounts[name] = QuotaAccount(quota, now, self.draw_random())
+                self.usage.added_at[name] = now
             elif account.quota != quota:
                 self.settle(name, account, now)
                 account.quota = quota
-                account.left = min(account.left, self.policy.burst(quota))
+                account.remaining = min(account.remaining, self.policy.burst(quota))
 
-    def take_share(self, share: float, now: Instant) -> None:
+    def apply_share(self, share: float, now: Instant) -> None:
         """Take which part of each quota the hosts in touch may use."""
         if share != self.share:
             self.settle_all(now)
             self.share = share
 
-    def hear(self, host: HostId, told: Told, now: Instant) -> None:
+    def apply_report(self, host: HostId, told: ReportedUsage, now: Instant) -> None:
         """Take what a peer counted, itself or over all hosts behind it."""
-        self.settle_some(self.usage.concerned(host, told.counts), now)
-        for gain in self.usage.hear(host, told, now):
+        self.settle_named(self.usage.affected_organisations(host, told.counts), now)
+        for gain in self.usage.apply_report(host, told, now):
             account = self.accounts.get(gain.organisation)
             if account is not None:
-                account.left -= gain.usage.admitted - gain.foreseen
+                account.remaining -= gain.usage.admitted - gain.expected_admitted
 
-    def hear_all(self, host: HostId, told: Told, now: Instant) -> None:
+    def apply_fleet_report(self, host: HostId, told: ReportedUsage, now: Instant) -> None:
         """Take from one peer what all others counted."""
         if self.usage.sources.keys() != {host}:
             self.settle_all(now)
-            self.usage.only(host)
-        self.hear(host, told, now)
+            self.usage.keep_only_peer(host)
+        self.apply_report(host, told, now)
 
-    def forget(self, host: HostId, now: Instant) -> None:
+    def forget_peer(self, host: HostId, now: Instant) -> None:
         """Take that a peer is gone."""
         if host in self.usage.sources:
             self.settle_all(now)
-            self.usage.forget(host, now)
+            self.usage.forget_peer(host, now)
 
-    def settle_some(self, names: Iterable[OrganisationName], now: Instant) -> None:
+    def settle_named(self, names: Iterable[OrganisationName], now: Instant) -> None:
         """Bring the accounts of some organisations up to now."""
         for name in names:
             account = self.accounts.get(name)
@@ -229,22 +229,22 @@
         for name, account in self.accounts.items():
             self.settle(name, account, now)
 
-    def settle(self, name: OrganisationName, account: Account, now: Instant) -> None:
+    def settle(self, name: OrganisationName, account: QuotaAccount, now: Instant) -> None:
         """Add what became free since last time, less what others foreseeably used."""
-        elapsed_s = (now - account.at).total_seconds()
+        elapsed_s = (now - account.settled_at).total_seconds()
         if elapsed_s <= 0:
             return
-        account.at = now
+        account.settled_at = now
         rate = self.rate_per_s(account)
-        foreseen = self.usage.flow_elsewhere(name).admitted_per_s
-        left = account.left + (rate - foreseen) * elapsed_s
+        foreseen = self.usage.peer_flow(name).admitted_per_s
+        left = account.remaining + (rate - foreseen) * elapsed_s
         lowest = -rate * self.policy.window.total_seconds()
         highest = self.policy.burst(account.quota) * self.share
-        account.left = min(max(left, lowest), highest)
+        account.remaining = min(max(left, lowest), highest)
 
     # What a request sees.
 
-    def rate_per_s(self, account: Account) -> float:
+    def rate_per_s(self, account: QuotaAccount) -> float:
         """Return what the hosts in touch may admit a second."""
         return self.policy.rate_per_s(account.quota) * self.share
 
@@ -262,49 +262,49 @@
         if account is None:
             return None
         cost = account.quota.cost(tokens)
-        if cost > self.policy.largest(account.quota):
-            return self.over(organisation.name, account, cost, now, None)
+        if cost > self.policy.max_cost(account.quota):
+            return self.over_quota(organisation.name, account, cost, now, None)
         self.settle(organisation.name, account, now)
-        fraction = self.fraction(organisation.name, account, cost, now)
-        account.note_asked(cost, now)
+        fraction = self.admitted_fraction(organisation.name, account, cost, now)
+        account.record_asked(cost, now)
         account.carry += fraction
-        if account.carry < 1 - FEW:
-            self.usage.note(organisation.name, Usage(asked=cost), now)
-            wait = self.come_back(organisation.name, account, cost, now)
-            return self.over(organisation.name, account, cost, now, wait)
+        if account.carry < 1 - EPSILON:
+            self.usage.record_usage(organisation.name, Usage(asked=cost), now)
+            wait = self.retry_after(organisation.name, account, cost, now)
+            return self.over_quota(organisation.name, account, cost, now, wait)
         account.carry -= 1
-        account.left -= cost
-        self.usage.note(organisation.name, Usage(cost, cost), now)
+        account.remaining -= cost
+        self.usage.record_usage(organisation.name, Usage(cost, cost), now)
         return Admitted(organisation.name, cost)
 
-    def give_back(self, admitted: Admitted, now: Instant) -> None:
+    def refund(self, admitted: Admitted, now: Instant) -> None:
         """Take back what was counted for a request that did not run."""
         account = self.accounts.get(admitted.organisation)
         if account is not None:
-            account.left += admitted.cost
-            self.usage.note(admitted.organisation, Usage(0, -admitted.cost), now)
+            account.remaining += admitted.cost
+            self.usage.record_usage(admitted.organisation, Usage(0, -admitted.cost), now)
 
-    def fraction(
-        self, name: OrganisationName, account: Account, cost: int, now: Instant
+    def admitted_fraction(
+        self, name: OrganisationName, account: QuotaAccount, cost: int, now: Instant
     ) -> float:
         """Return which part of requests of some cost fits, over all hosts."""
-        free_per_s = self.rate_per_s(account) + account.left / HORIZON_S
+        free_per_s = self.rate_per_s(account) + account.remaining / CORRECTION_HORIZON_S
         asked_per_s = self.asked_per_s(name, account, now)
         if free_per_s <= 0:
             return 0.0
-        if cost <= CHEAP_PART * account.usual_cost:
+        if cost <= CHEAP_COST_SHARE * account.mean_cost:
             return 1.0
-        return min(1.0, free_per_s / max(asked_per_s, FEW))
+        return min(1.0, free_per_s / max(asked_per_s, EPSILON))
 
     def asked_per_s(
-        self, name: OrganisationName, account: Account, now: Instant
+        self, name: OrganisationName, account: QuotaAccount, now: Instant
     ) -> float:
         """Return what all hosts are asked for a second."""
-        elsewhere = self.usage.flow_elsewhere(name).asked_per_s
+        elsewhere = self.usage.peer_flow(name).asked_per_s
         return elsewhere + account.own_asked_per_s(now)
 
-    def come_back(
-        self, name: OrganisationName, account: Account, cost: int, now: Instant
+    def retry_after(
+        self, name: OrganisationName, account: QuotaAccount, cost: int, now: Instant
     ) -> timedelta:
         """Return when a refused request may fit.
 
@@ -313,12 +313,12 @@
         """
         rate = self.rate_per_s(account)
         crowd = max(1.0, self.asked_per_s(name, account, now) / rate)
-        return seconds((max(0.0, -account.left) + cost) / rate * crowd)
+        return seconds((max(0.0, -account.remaining) + cost) / rate * crowd)
 
-    def over(
+    def over_quota(
         self,
         name: OrganisationName,
-        account: Account,
+        account: QuotaAccount,
         cost: int,
         now: Instant,
         come_back: timedelta | None,
@@ -328,8 +328,8 @@
             name,
             cost,
             self.rate_per_s(account),
-            account.left,
+            account.remaining,
             self.asked_per_s(name, account, now),
-            self.usage.age(now),
+            self.usage.max_report_age(now),
             come_back,
         )
--- a/packages/core/src/sardinequay_core/reading_pace.py
+++ b/packages/core/src/sardinequay_core/reading_pace.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
+class PaceMeasurement:
     """Sums over requests, the older the less, in seconds.
 
     Parameters
@@ -40,31 +40,31 @@
     took_s: float
     at: Instant
 
-    def decayed(self, now: Instant) -> "Measured":
+    def decayed(self, now: Instant) -> "PaceMeasurement":
         """Return what is left of it by now."""
         part = math.exp2(-((now - self.at) / HALF_LIFE))
-        return Measured(self.expected_s * part, self.took_s * part, now)
+        return PaceMeasurement(self.expected_s * part, self.took_s * part, now)
 
 
 @dataclass(slots=True)
 class PaceMeasurements:
     """What this host measured of each engine."""
 
-    own: dict[TargetId, Measured] = field(default_factory=dict)
+    own: dict[TargetId, PaceMeasurement] = field(default_factory=dict)
 
-    def note(
+    def record_measurement(
         self, target: TargetId, expected_s: float, took_s: float, now: Instant
     ) -> None:
         """Enter one request's first event."""
         before = self.measurement_of(target, now)
-        self.own[target] = Measured(
+        self.own[target] = PaceMeasurement(
             before.expected_s + expected_s, before.took_s + took_s, now
         )
 
-    def measurement_of(self, target: TargetId, now: Instant) -> Measured:
+    def measurement_of(self, target: TargetId, now: Instant) -> PaceMeasurement:
         """Return what this host measured of an engine."""
         known = self.own.get(target)
-        return known.decayed(now) if known is not None else Measured(0.0, 0.0, now)
+        return known.decayed(now) if known is not None else PaceMeasurement(0.0, 0.0, now)
 
     def forget_target(self, target: TargetId) -> None:
         """Drop what was measured of a target that started again or is gone."""
--- a/packages/core/src/sardinequay_core/repeat_budget.py
+++ b/packages/core/src/sardinequay_core/repeat_budget.py
@@ -17,13 +17,13 @@
 from datetime import timedelta
 
 from .clock import Instant
-from .fleet_share import KEEP_COUNTED
+from .fleet_share import HOST_RETENTION
 
-SLACK_SHARE = 0.75
+USED_SLACK_SHARE = 0.75
 """Part of the slack that is used: hosts count live peers a little differently."""
 
 
-SLACK_AFTER = KEEP_COUNTED
+SLACK_DELAY = HOST_RETENTION
 """From a start anew until a host has its share of the slack: longer than a window, and
 than a cut in which it would count too few hosts."""
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatUse:
+class RepeatUsage:
     """What a further attempt is permitted from, on one host.
 
     Parameters
@@ -88,14 +88,14 @@
     slack_from: Instant
     requests: deque[Instant] = field(default_factory=deque)
     repeats: deque[Instant] = field(default_factory=deque)
-    on_way: int = 0
+    in_transit: int = 0
 
-    def request(self, now: Instant) -> None:
+    def record_request(self, now: Instant) -> None:
         """Count a request's first arrival."""
         self.requests.append(now)
-        self.trim(now)
+        self.prune_window(now)
 
-    def use(self, hosts: int, now: Instant) -> RepeatUse:
+    def current_usage(self, hosts: int, now: Instant) -> RepeatUsage:
         """Return what of this host's share is used.
 
         Parameters
@@ -103,23 +103,23 @@
         hosts : int
             Hosts that lived lately, at least one.
         """
-        self.trim(now)
+        self.prune_window(now)
         allowed = self.policy.ratio * len(self.requests)
         if now >= self.slack_from:
-            allowed += self.policy.slack * SLACK_SHARE / hosts
-        repeats = len(self.repeats) + self.on_way
-        return RepeatUse(len(self.requests), repeats, allowed, hosts)
+            allowed += self.policy.slack * USED_SLACK_SHARE / hosts
+        repeats = len(self.repeats) + self.in_transit
+        return RepeatUsage(len(self.requests), repeats, allowed, hosts)
 
-    def begin(self) -> None:
+    def record_permitted(self) -> None:
         """Count a further arrival that was permitted."""
-        self.on_way += 1
+        self.in_transit += 1
 
-    def end(self, now: Instant) -> None:
+    def record_arrival(self, now: Instant) -> None:
         """Take that a further arrival has come, or will not come any more."""
-        self.on_way -= 1
+        self.in_transit -= 1
         self.repeats.append(now)
 
-    def trim(self, now: Instant) -> None:
+    def prune_window(self, now: Instant) -> None:
         """Forget what left the window."""
         since = now - self.policy.window
         for events in (self.requests, self.repeats):
--- a/packages/core/src/sardinequay_core/residency.py
+++ b/packages/core/src/sardinequay_core/residency.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldAdapters:
     """What one engine holds.
 
     Parameters
@@ -34,7 +34,7 @@
     idle: int | None = None
 
     @property
-    def age_key(self) -> tuple[int, int, int]:
+    def version_key(self) -> tuple[int, int, int]:
         """Return what later news of an engine has more of."""
         return self.incarnation, self.token, self.number
 
@@ -49,76 +49,76 @@
         Adapters that an engine denied to have, with the news that said otherwise.
     """
 
-    told: dict[TargetId, Held] = field(default_factory=dict)
+    reported: dict[TargetId, HeldAdapters] = field(default_factory=dict)
     missing: dict[tuple[TargetId, AdapterRef], tuple[int, int, int]] = field(
         default_factory=dict
     )
 
-    def hear(self, target: TargetId, held: Held) -> bool:
+    def apply_update(self, target: TargetId, held: HeldAdapters) -> bool:
         """Take news of an engine; return whether they are later than what was known."""
-        known = self.told.get(target)
-        if known is not None and known.age_key > held.age_key:
+        known = self.reported.get(target)
+        if known is not None and known.version_key > held.version_key:
             return False
-        self.told[target] = held
+        self.reported[target] = held
         return True
 
-    def held(self, published: PublishedTarget) -> Held:
+    def holdings_of(self, published: PublishedTarget) -> HeldAdapters:
         """Return what an engine holds, since its last start that is known."""
-        told = self.told.get(published.target.target_id)
+        told = self.reported.get(published.target.target_id)
         if told is not None and told.incarnation >= published.incarnation:
             return told
-        return Held(
+        return HeldAdapters(
             0,
             published.revision,
             published.adapters,
             incarnation=published.incarnation,
         )
 
-    def resident(
+    def resident_adapter(
         self, published: PublishedTarget, wanted: AdapterRef
     ) -> AdapterRef | None:
         """Return the adapter as an engine holds it, not older than wanted."""
-        held = self.held(published)
+        held = self.holdings_of(published)
         for adapter in held.adapters:
             if adapter.is_at_least(wanted):
                 denied = self.missing.get((published.target.target_id, adapter))
-                if denied is None or denied < held.age_key:
+                if denied is None or denied < held.version_key:
                     return adapter
         return None
 
-    def coming_at(
+    def expected_at(
         self, published: PublishedTarget, wanted: AdapterRef
     ) -> Instant | None:
         """Return when an adapter is expected on an engine, if it is coming."""
-        for adapter, at in self.held(published).coming.items():
+        for adapter, at in self.holdings_of(published).coming.items():
             if adapter.is_at_least(wanted):
                 return at
         return None
 
-    def add(self, published: PublishedTarget, adapter: AdapterRef) -> None:
+    def record_loaded(self, published: PublishedTarget, adapter: AdapterRef) -> None:
         """Take that an adapter is on an engine now, ahead of the next news."""
-        held = self.held(published)
+        held = self.holdings_of(published)
         target = published.target.target_id
         self.missing.pop((target, adapter), None)
-        self.told[target] = replace(held, adapters=held.adapters | {adapter})
+        self.reported[target] = replace(held, adapters=held.adapters | {adapter})
 
-    def deny(self, published: PublishedTarget, adapter: AdapterRef) -> None:
+    def record_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
         """Take that an engine does not have an adapter after all."""
-        held = self.held(published)
+        held = self.holdings_of(published)
         key = (published.target.target_id, adapter)
-        self.missing[key] = held.age_key
+        self.missing[key] = held.version_key
 
-    def forget(self, known: frozenset[TargetId]) -> None:
+    def prune_unlisted(self, known: frozenset[TargetId]) -> None:
         """Drop engines that are no longer listed."""
-        for target in tuple(self.told):
+        for target in tuple(self.reported):
             if target not in known:
-                del self.told[target]
+                del self.reported[target]
         for key in tuple(self.missing):
             if key[0] not in known:
                 del self.missing[key]
 
 
-UsesByAdapter = dict[AdapterRef, int]
+UseCounts = dict[AdapterRef, int]
 NO_USES: Mapping[AdapterRef, int] = {}
 
 
@@ -141,39 +141,39 @@
     peers: dict[HostId, dict[tuple[TargetId, AdapterRef], int]] = field(
         default_factory=dict
     )
-    total: dict[TargetId, UsesByAdapter] = field(default_factory=dict)
+    total: dict[TargetId, UseCounts] = field(default_factory=dict)
 
-    def change(self, target: TargetId, adapter: AdapterRef, by: int) -> int:
+    def adjust_own_count(self, target: TargetId, adapter: AdapterRef, by: int) -> int:
         """Count one of this host's requests in or out; return how many there are."""
         before = self.own.get((target, adapter), 0)
         count = max(0, before + by)
         self.set_count(self.own, target, adapter, count)
         return count
 
-    def hear(
+    def apply_peer_count(
         self, host: HostId, target: TargetId, adapter: AdapterRef, count: int
     ) -> None:
         """Take how many requests of a peer use an adapter from now on."""
         self.set_count(self.peers.setdefault(host, {}), target, adapter, count)
 
-    def hear_end(self, host: HostId, target: TargetId, adapter: AdapterRef) -> None:
+    def apply_peer_end(self, host: HostId, target: TargetId, adapter: AdapterRef) -> None:
         """Take that a host behind a peer uses an adapter no more."""
         uses = self.peers.get(host, {})
         count = uses.get((target, adapter), 0)
         self.set_count(uses, target, adapter, max(0, count - 1))
 
-    def replace(
+    def replace_peer_counts(
         self, host: HostId, uses: Mapping[tuple[TargetId, AdapterRef], int]
     ) -> None:
         """Take all uses of a peer; they replace what it told before."""
-        self.forget(host)
+        self.forget_peer(host)
         for (target, adapter), count in uses.items():
-            self.hear(host, target, adapter, count)
+            self.apply_peer_count(host, target, adapter, count)
 
-    def forget(self, host: HostId) -> None:
+    def forget_peer(self, host: HostId) -> None:
         """Drop the uses of a peer."""
         for target, adapter in tuple(self.peers.get(host, ())):
-            self.hear(host, target, adapter, 0)
+            self.apply_peer_count(host, target, adapter, 0)
         self.peers.pop(host, None)
 
     def set_count(
@@ -206,16 +206,16 @@
                 del uses[key]
         self.total.pop(target, None)
 
-    def on(self, target: TargetId) -> Mapping[AdapterRef, int]:
+    def counts_on(self, target: TargetId) -> Mapping[AdapterRef, int]:
         """Return how many requests use each adapter on an engine."""
         return self.total.get(target, NO_USES)
 
-    def idle_among(self, target: TargetId, adapters: Iterable[AdapterRef]) -> int:
+    def count_idle(self, target: TargetId, adapters: Iterable[AdapterRef]) -> int:
         """Return how many of some adapters on an engine no known request uses."""
-        in_use = self.on(target)
+        in_use = self.counts_on(target)
         return sum(1 for adapter in adapters if adapter not in in_use)
 
-    def sum_of(
+    def summed_counts(
         self, hosts: Iterable[HostId], targets: Collection[TargetId]
     ) -> dict[tuple[TargetId, AdapterRef], int]:
         """Return the uses of this host and some peers together, on some engines."""
--- a/packages/core/src/sardinequay_core/retry_decision.py
+++ b/packages/core/src/sardinequay_core/retry_decision.py
@@ -20,7 +20,7 @@
     MISDIRECTED = "misdirected"
     MAY_HAVE_RUN = "may_have_run"
     BROKEN_OFF = "broken_off"
-    LOST_ON_KEPT = "lost_on_kept"
+    LOST_ON_REUSED_CONNECTION = "lost_on_kept"
 
     @property
     def may_have_run(self) -> bool:
@@ -28,14 +28,14 @@
         return self in (
             AttemptEnd.MAY_HAVE_RUN,
             AttemptEnd.BROKEN_OFF,
-            AttemptEnd.LOST_ON_KEPT,
+            AttemptEnd.LOST_ON_REUSED_CONNECTION,
         )
 
 
-class Next(Enum):
+class RetryDecision(Enum):
     """What comes after a failed attempt."""
 
-    AGAIN = "again"
+    RETRY = "again"
     GIVE_UP_NOT_RUN = "give_up_not_run"
     GIVE_UP_MAY_HAVE_RUN = "give_up_may_have_run"
 
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptsSoFar:
+class AttemptCounts:
     """A request's history.
 
     Parameters
@@ -60,26 +60,26 @@
     runs: int = 0
     rejections: int = 0
 
-    def after(self, end: AttemptEnd) -> "AttemptsSoFar":
+    def with_attempt(self, end: AttemptEnd) -> "AttemptCounts":
         """Return the history with one more attempt."""
         if end.may_have_run:
-            return AttemptsSoFar(self.runs + 1, self.rejections)
-        return AttemptsSoFar(self.runs, self.rejections + 1)
+            return AttemptCounts(self.runs + 1, self.rejections)
+        return AttemptCounts(self.runs, self.rejections + 1)
 
 
-def next_step(
+def decide_retry(
     repetition: Repetition,
     max_runs: int,
-    so_far: AttemptsSoFar,
+    so_far: AttemptCounts,
     left: timedelta,
     within_budget: bool,
-) -> Next:
+) -> RetryDecision:
     """Return what follows, with the failed attempt already in `so_far`."""
-    give_up = Next.GIVE_UP_MAY_HAVE_RUN if so_far.runs else Next.GIVE_UP_NOT_RUN
+    give_up = RetryDecision.GIVE_UP_MAY_HAVE_RUN if so_far.runs else RetryDecision.GIVE_UP_NOT_RUN
     if so_far.runs and not repetition.may_run_again:
         return give_up
     if so_far.runs >= max_runs or so_far.rejections >= MAX_REJECTIONS:
         return give_up
     if left <= ZERO or not within_budget:
         return give_up
-    return Next.AGAIN
+    return RetryDecision.RETRY
--- a/packages/core/src/sardinequay_core/run_permits.py
+++ b/packages/core/src/sardinequay_core/run_permits.py
@@ -10,13 +10,13 @@
 from .clock import Instant
 from .names import ContentId
 
-PERMIT_LIFE = timedelta(seconds=5)
+PERMIT_DURATION = timedelta(seconds=5)
 """A target that a request ends does so when it begins to run it; what runs for longer
 has most likely another fate, and others may try."""
 
 
 @dataclass(frozen=True, slots=True)
-class Permit:
+class RunPermit:
     """Leave to run one request of a content.
 
     Parameters
@@ -30,26 +30,26 @@
 
 
 @dataclass(slots=True)
-class PermitBook:
+class RunPermits:
     """Lets one request at a time of each content run."""
 
-    permits: dict[ContentId, Permit] = field(default_factory=dict)
+    permits: dict[ContentId, RunPermit] = field(default_factory=dict)
 
     def grant(self, content: ContentId, run: str, now: Instant) -> bool:
         """Give the permit for a content, unless another run has it."""
         permit = self.permits.get(content)
         if permit is not None and permit.run != run and now < permit.until:
             return False
-        self.permits[content] = Permit(run, now + PERMIT_LIFE)
+        self.permits[content] = RunPermit(run, now + PERMIT_DURATION)
         return True
 
-    def give_back(self, content: ContentId, run: str) -> None:
+    def release(self, content: ContentId, run: str) -> None:
         """Take a permit back."""
         permit = self.permits.get(content)
         if permit is not None and permit.run == run:
             del self.permits[content]
 
-    def expire(self, now: Instant) -> None:
+    def expire_permits(self, now: Instant) -> None:
         """Drop permits that ran out."""
         for content, permit in tuple(self.permits.items()):
             if now >= permit.until:
--- a/packages/core/src/sardinequay_core/service_choice.py
+++ b/packages/core/src/sardinequay_core/service_choice.py
@@ -47,7 +47,7 @@
     return fill + option.tie_breaker * LOCAL_PREFERENCE / 4
 
 
-def choose_target(options: Sequence[ServiceOption]) -> TargetId | None:
+def select_target(options: Sequence[ServiceOption]) -> TargetId | None:
     """Return the target to send to, or None if there is none."""
     best = min(options, key=option_cost, default=None)
     return best.target if best is not None else None
--- a/packages/core/src/sardinequay_core/serving.py
+++ b/packages/core/src/sardinequay_core/serving.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class PoolShare:
     """A pool and its weight in a route's split traffic."""
 
     pool: PoolName
@@ -71,7 +71,7 @@
     goal: timedelta
     priority: int
     max_runs: int
-    shares: tuple[Share, ...]
+    shares: tuple[PoolShare, ...]
     max_pause: timedelta | None = None
     is_public: bool = False
 
@@ -130,7 +130,7 @@
     loads_per_s: float
     models: tuple[ServedModel, ...]
 
-    def adapter_places(self, held: Collection[str]) -> int:
+    def adapter_capacity(self, held: Collection[str]) -> int:
         """Return how many adapters fit beside the models that an engine holds.
 
         An engine that is ordered to hold more than its memory takes crashes, so memory
@@ -143,7 +143,7 @@
         left_mb = self.weight_mb - sum(m.weight_mb for m in models)
         return max(0, min(self.adapter_slots, int(left_mb / largest_mb)))
 
-    def loadable(self) -> tuple[str, ...]:
+    def loadable_models(self) -> tuple[str, ...]:
         """Return the models that fit on an engine that holds nothing."""
         return tuple(
             m.name
@@ -153,7 +153,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pool:
+class TargetPool:
     """Targets that serve the same.
 
     Parameters
@@ -192,7 +192,7 @@
 
     version: int
     routes: tuple[Route, ...]
-    pools: Mapping[PoolName, Pool]
+    pools: Mapping[PoolName, TargetPool]
     limits: CallerLimits
     organisations: tuple[Organisation, ...] | None = None
     by_host: Mapping[str, tuple[Route, ...]] = field(
@@ -202,7 +202,7 @@
         default_factory=dict, compare=False
     )
 
-    def match(self, host: str, path: str) -> Route | None:
+    def match_route(self, host: str, path: str) -> Route | None:
         """Return the route of a host name with the longest prefix of the path."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
@@ -210,10 +210,10 @@
         return None
 
 
-def make_config(
+def make_serving_config(
     version: int,
     routes: tuple[Route, ...],
-    pools: tuple[Pool, ...],
+    pools: tuple[TargetPool, ...],
     limits: CallerLimits,
     organisations: tuple[Organisation, ...] | None = None,
 ) -> ServingConfig:
--- a/packages/core/src/sardinequay_core/shared_outcomes.py
+++ b/packages/core/src/sardinequay_core/shared_outcomes.py
@@ -87,7 +87,7 @@
     own: dict[TargetId, TimedOutcomes] = field(default_factory=dict)
     reported: dict[TargetId, dict[HostId, TimedOutcomes]] = field(default_factory=dict)
 
-    def note(
+    def record_outcome(
         self, target: TargetId, now: Instant, good: float = 0.0, failed: float = 0.0
     ) -> None:
         """Count one request's end."""
--- a/packages/core/src/sardinequay_core/target_choice.py
+++ b/packages/core/src/sardinequay_core/target_choice.py
@@ -209,7 +209,7 @@
     return cost
 
 
-def choose_engine(
+def select_engine(
     options: Sequence[EngineOption], left_s: float, copies_due: int = 1
 ) -> EngineChoice:
     """Return where a request goes.
--- a/packages/core/src/sardinequay_core/target_health.py
+++ b/packages/core/src/sardinequay_core/target_health.py
@@ -183,15 +183,15 @@
             record.answered_at = now
             return False
         if verdict is AttemptResult.SUCCEEDED:
-            self.tally.note(target, now, good=1.0)
+            self.tally.record_outcome(target, now, good=1.0)
             self.record_success(record, now)
             return False
         if verdict is AttemptResult.TIMED_OUT and record.answered_at > sent_at:
             return False
         if verdict is AttemptResult.FAILED:
-            self.tally.note(target, now, failed=1.0)
+            self.tally.record_outcome(target, now, failed=1.0)
         elif verdict is AttemptResult.TIMED_OUT:
-            self.tally.note(target, now, failed=TIMEOUT_WEIGHT)
+            self.tally.record_outcome(target, now, failed=TIMEOUT_WEIGHT)
         return self.record_failure(record, verdict, now)
 
     def record_success(self, record: TargetHealthRecord, now: Instant) -> None:
--- a/packages/core/src/sardinequay_core/usage_view.py
+++ b/packages/core/src/sardinequay_core/usage_view.py
@@ -12,20 +12,20 @@
 from datetime import timedelta
 
 from .clock import ZERO, Instant, seconds
-from .fleet_topology import Scope
+from .fleet_topology import DigestScope
 from .names import HostId
 from .organisations import OrganisationName
 
-FLOW_MEMORY_S = 0.5
+FLOW_TIME_CONSTANT_S = 0.5
 """Time constant of a peer's measured flow, in seconds: about two exchanges."""
 
-LEAST_FLOW = 0.01
+MIN_FLOW = 0.01
 """A flow below this, in the quota's unit a second, is none."""
 
-JUST_STARTED = seconds(3)
+RECENT_START = seconds(3)
 """What a peer counted that has been up for less than this is all recent."""
 
-TELL_FOR = seconds(3)
+REPORT_DURATION = seconds(3)
 """How long a count that changed is told: many exchanges, so that one is heard."""
 
 
@@ -36,48 +36,48 @@
     asked: int = 0
     admitted: int = 0
 
-    def plus(self, other: "Usage") -> "Usage":
+    def with_added(self, other: "Usage") -> "Usage":
         """Return both together."""
         return Usage(self.asked + other.asked, self.admitted + other.admitted)
 
-    def less(self, other: "Usage") -> "Usage":
+    def without(self, other: "Usage") -> "Usage":
         """Return this without another that is part of it."""
         return Usage(self.asked - other.asked, self.admitted - other.admitted)
 
 
 NO_USAGE = Usage()
-Counts = dict[OrganisationName, Usage]
-Names = Iterable[OrganisationName]
+UsageCounts = dict[OrganisationName, Usage]
+OrganisationNames = Iterable[OrganisationName]
 
 
 @dataclass(frozen=True, slots=True)
-class Flow:
+class UsageFlow:
     """What is asked for and admitted a second."""
 
     asked_per_s: float = 0.0
     admitted_per_s: float = 0.0
 
-    def towards(self, gained: Usage, over_s: float) -> "Flow":
+    def updated(self, gained: Usage, over_s: float) -> "UsageFlow":
         """Return the flow after some more was used within a time."""
-        weight = 1 - math.exp(-over_s / FLOW_MEMORY_S)
+        weight = 1 - math.exp(-over_s / FLOW_TIME_CONSTANT_S)
         asked = self.asked_per_s + weight * (gained.asked / over_s - self.asked_per_s)
         admitted = self.admitted_per_s + weight * (
             gained.admitted / over_s - self.admitted_per_s
         )
-        return Flow(max(0.0, asked), max(0.0, admitted))
+        return UsageFlow(max(0.0, asked), max(0.0, admitted))
 
-    def within(self, span_s: float) -> Usage:
+    def usage_over(self, span_s: float) -> Usage:
         """Return what is used in a time, in seconds."""
         return Usage(
             round(self.asked_per_s * span_s), round(self.admitted_per_s * span_s)
         )
 
 
-NO_FLOW = Flow()
+NO_USAGE_FLOW = UsageFlow()
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ReportedUsage:
     """What a peer tells of usage.
 
     Parameters
@@ -88,14 +88,14 @@
         Whether it has started anew since it was heard last.
     """
 
-    scope: Scope
-    counts: Counts
-    up: timedelta
+    scope: DigestScope
+    counts: UsageCounts
+    uptime: timedelta
     has_restarted: bool = False
 
 
 @dataclass(slots=True)
-class Source:
+class UsageSource:
     """What one peer told, for itself or for all behind it.
 
     Parameters
@@ -107,28 +107,28 @@
         for the first time may be hours old.
     """
 
-    scope: Scope
-    told: Counts
-    at: Instant
-    first_at: Instant
-    since_start: bool
-    flows: dict[OrganisationName, Flow] = field(default_factory=dict)
+    scope: DigestScope
+    reported_counts: UsageCounts
+    reported_at: Instant
+    first_reported_at: Instant
+    is_complete: bool
+    flows: dict[OrganisationName, UsageFlow] = field(default_factory=dict)
 
-    def note_flow(self, organisation: OrganisationName, flow: Flow) -> None:
+    def record_flow(self, organisation: OrganisationName, flow: UsageFlow) -> None:
         """Take what an organisation uses there now; next to nothing is nothing."""
-        if max(flow.asked_per_s, flow.admitted_per_s) < LEAST_FLOW:
+        if max(flow.asked_per_s, flow.admitted_per_s) < MIN_FLOW:
             self.flows.pop(organisation, None)
         else:
             self.flows[organisation] = flow
 
-    def foreseen(self, now: Instant) -> Counts:
+    def expected_usage(self, now: Instant) -> UsageCounts:
         """Return what is expected to be used since the source was heard."""
-        since_s = (now - self.at).total_seconds()
-        return {o: flow.within(since_s) for o, flow in self.flows.items()}
+        since_s = (now - self.reported_at).total_seconds()
+        return {o: flow.usage_over(since_s) for o, flow in self.flows.items()}
 
 
 @dataclass(frozen=True, slots=True)
-class Gain:
+class UsageGain:
     """What became known of an organisation's usage elsewhere.
 
     Parameters
@@ -139,7 +139,7 @@
 
     organisation: OrganisationName
     usage: Usage
-    foreseen: float
+    expected_admitted: float
 
 
 @dataclass(slots=True)
@@ -159,88 +159,88 @@
         When an organisation became known here.
     """
 
-    own: Counts = field(default_factory=dict)
-    sources: dict[HostId, Source] = field(default_factory=dict)
-    near: Counts = field(default_factory=dict)
-    far: Counts = field(default_factory=dict)
-    gained: dict[HostId, Counts] = field(default_factory=dict)
+    own: UsageCounts = field(default_factory=dict)
+    sources: dict[HostId, UsageSource] = field(default_factory=dict)
+    local_gains: UsageCounts = field(default_factory=dict)
+    remote_gains: UsageCounts = field(default_factory=dict)
+    gains_by_host: dict[HostId, UsageCounts] = field(default_factory=dict)
     changed_at: dict[OrganisationName, Instant] = field(default_factory=dict)
-    opened_at: dict[OrganisationName, Instant] = field(default_factory=dict)
+    added_at: dict[OrganisationName, Instant] = field(default_factory=dict)
 
-    def note(self, organisation: OrganisationName, usage: Usage, now: Instant) -> None:
+    def record_usage(self, organisation: OrganisationName, usage: Usage, now: Instant) -> None:
         """Count what this host was asked for or admitted."""
-        add(self.own, organisation, usage)
+        add_usage(self.own, organisation, usage)
         self.changed_at[organisation] = now
 
-    def hear(self, host: HostId, told: Told, now: Instant) -> list[Gain]:
+    def apply_report(self, host: HostId, told: ReportedUsage, now: Instant) -> list[UsageGain]:
         """Take a peer's counts; return what they say that was not known."""
         scope = told.scope
         source = self.sources.get(host)
         if source is None or source.scope is not scope or told.has_restarted:
-            source = self.sources[host] = first_of(told, now)
-        over_s = (now - source.at).total_seconds()
+            source = self.sources[host] = new_source(told, now)
+        over_s = (now - source.reported_at).total_seconds()
         gains = [
-            self.gain(source, organisation, told.counts, over_s)
-            for organisation in self.concerned(host, told.counts)
+            self.compute_gain(source, organisation, told.counts, over_s)
+            for organisation in self.affected_organisations(host, told.counts)
         ]
         for gain in gains:
-            self.keep(host, scope, gain, now)
-        source.told.update(told.counts)
-        source.at = now
+            self.record_gain(host, scope, gain, now)
+        source.reported_counts.update(told.counts)
+        source.reported_at = now
         return gains
 
-    def concerned(self, host: HostId, told: Counts) -> tuple[OrganisationName, ...]:
+    def affected_organisations(self, host: HostId, told: UsageCounts) -> tuple[OrganisationName, ...]:
         """Return the organisations of which a peer says something by these counts."""
         source = self.sources.get(host)
         flows = source.flows if source is not None else {}
         return tuple({**flows, **told})
 
-    def gain(
+    def compute_gain(
         self,
-        source: Source,
+        source: UsageSource,
         organisation: OrganisationName,
-        told: Counts,
+        told: UsageCounts,
         over_s: float,
-    ) -> Gain:
+    ) -> UsageGain:
         """Return what a source says of one organisation that was not known."""
         # Whoever is told first hears of all organisations, so one that was not among
         # them is new to both, or was counted before the source was heard.
-        is_new = self.opened_at.get(organisation, ZERO) > source.first_at
-        is_known = source.since_start or is_new
+        is_new = self.added_at.get(organisation, ZERO) > source.first_reported_at
+        is_known = source.is_complete or is_new
         first = NO_USAGE if is_known else told.get(organisation, NO_USAGE)
-        before = source.told.get(organisation, first)
-        usage = told.get(organisation, before).less(before)
-        flow = source.flows.get(organisation, NO_FLOW)
+        before = source.reported_counts.get(organisation, first)
+        usage = told.get(organisation, before).without(before)
+        flow = source.flows.get(organisation, NO_USAGE_FLOW)
         if over_s > 0:
-            source.note_flow(organisation, flow.towards(usage, over_s))
-        return Gain(organisation, usage, flow.admitted_per_s * over_s)
+            source.record_flow(organisation, flow.updated(usage, over_s))
+        return UsageGain(organisation, usage, flow.admitted_per_s * over_s)
 
-    def keep(self, host: HostId, scope: Scope, gain: Gain, now: Instant) -> None:
+    def record_gain(self, host: HostId, scope: DigestScope, gain: UsageGain, now: Instant) -> None:
         """Count what was gained, for those to whom this host tells sums."""
         if gain.usage == NO_USAGE:
             return
         self.changed_at[gain.organisation] = now
         match scope:
-            case Scope.HOST:
-                add(self.near, gain.organisation, gain.usage)
-                add(self.gained.setdefault(host, {}), gain.organisation, gain.usage)
-            case Scope.DATA_CENTRE:
-                add(self.far, gain.organisation, gain.usage)
+            case DigestScope.HOST:
+                add_usage(self.local_gains, gain.organisation, gain.usage)
+                add_usage(self.gains_by_host.setdefault(host, {}), gain.organisation, gain.usage)
+            case DigestScope.DATA_CENTRE:
+                add_usage(self.remote_gains, gain.organisation, gain.usage)
 
-    def forget(self, host: HostId, now: Instant) -> None:
+    def forget_peer(self, host: HostId, now: Instant) -> None:
         """Take that a peer uses nothing any more; what it used stays counted."""
         source = self.sources.pop(host, None)
-        if source is not None and source.scope is Scope.DATA_CENTRE:
+        if source is not None and source.scope is DigestScope.DATA_CENTRE:
             # It was foreseen in what others were told, so it may not vanish there.
-            for organisation, usage in source.foreseen(now).items():
-                add(self.far, organisation, usage)
+            for organisation, usage in source.expected_usage(now).items():
+                add_usage(self.remote_gains, organisation, usage)
 
-    def only(self, host: HostId) -> None:
+    def keep_only_peer(self, host: HostId) -> None:
         """Forget all peers but one, that speaks for all."""
         kept = self.sources.get(host)
         self.sources = {} if kept is None else {host: kept}
 
-    def flow_elsewhere(self, organisation: OrganisationName) -> Flow:
+    def peer_flow(self, organisation: OrganisationName) -> UsageFlow:
         """Return what all others are asked for and admit a second."""
         asked = admitted = 0.0
         for source in self.sources.values():
@@ -248,69 +248,69 @@
             if flow is not None:
                 asked += flow.asked_per_s
                 admitted += flow.admitted_per_s
-        return Flow(asked, admitted)
+        return UsageFlow(asked, admitted)
 
-    def age(self, now: Instant) -> timedelta:
+    def max_report_age(self, now: Instant) -> timedelta:
         """Return how long ago the peer that was silent longest was heard."""
-        oldest = min((s.at for s in self.sources.values()), default=now)
+        oldest = min((s.reported_at for s in self.sources.values()), default=now)
         return max(ZERO, now - oldest)
 
     # What peers are told. Who is told for the first time is told of all organisations,
     # also of those that used nothing: their next count says then what they used since.
 
-    def own_counts(self, now: Instant, also: Names = ()) -> Counts:
+    def own_counts(self, now: Instant, also: OrganisationNames = ()) -> UsageCounts:
         """Return this host's counts that changed lately, and those named."""
-        return self.recent((self.own,), now, also)
+        return self.recent_counts((self.own,), now, also)
 
-    def here(self, now: Instant, also: Names = ()) -> Counts:
+    def data_centre_counts(self, now: Instant, also: OrganisationNames = ()) -> UsageCounts:
         """Return this data centre's counts that changed lately, and those named."""
-        return self.recent((self.own, self.near), now, also)
+        return self.recent_counts((self.own, self.local_gains), now, also)
 
-    def all_but(self, host: HostId, now: Instant, also: Names = ()) -> Counts:
+    def counts_excluding(self, host: HostId, now: Instant, also: OrganisationNames = ()) -> UsageCounts:
         """Return the counts of all hosts but one that changed lately, and those named.
 
         With what is foreseen of data centres since they were heard: a host that hears
         only this sum could not tell one that is cut off from one that uses nothing.
         """
         far = [
-            source.foreseen(now)
+            source.expected_usage(now)
             for source in self.sources.values()
-            if source.scope is Scope.DATA_CENTRE
+            if source.scope is DigestScope.DATA_CENTRE
         ]
-        found = self.recent((self.own, self.near, self.far, *far), now, also)
-        its = self.gained.get(host, {})
-        return {o: usage.less(its.get(o, NO_USAGE)) for o, usage in found.items()}
+        found = self.recent_counts((self.own, self.local_gains, self.remote_gains, *far), now, also)
+        its = self.gains_by_host.get(host, {})
+        return {o: usage.without(its.get(o, NO_USAGE)) for o, usage in found.items()}
 
-    def recent(
+    def recent_counts(
         self,
         parts: Iterable[Mapping[OrganisationName, Usage]],
         now: Instant,
-        also: Names,
-    ) -> Counts:
+        also: OrganisationNames,
+    ) -> UsageCounts:
         """Return the sum of counts that changed lately, and of those named."""
-        since = now - TELL_FOR
-        found: Counts = dict.fromkeys(also, NO_USAGE)
+        since = now - REPORT_DURATION
+        found: UsageCounts = dict.fromkeys(also, NO_USAGE)
         for part in parts:
             for organisation, usage in part.items():
                 changed_at = self.changed_at.get(organisation, ZERO)
                 if changed_at >= since or organisation in found:
-                    add(found, organisation, usage)
+                    add_usage(found, organisation, usage)
         return found
 
 
-def first_of(told: Told, now: Instant) -> Source:
+def new_source(told: ReportedUsage, now: Instant) -> UsageSource:
     """Return a peer that was not heard before.
 
     All that it counted is news if it has just started; else only what it counts from
     now on, since it may have counted for hours. What a cut held up looks like a
     restart, but comes from a peer that has been up for long.
     """
-    if told.up < JUST_STARTED:
-        lately = now - seconds(FLOW_MEMORY_S)
-        return Source(told.scope, {}, lately, now, since_start=True)
-    return Source(told.scope, dict(told.counts), now, now, since_start=False)
+    if told.uptime < RECENT_START:
+        lately = now - seconds(FLOW_TIME_CONSTANT_S)
+        return UsageSource(told.scope, {}, lately, now, is_complete=True)
+    return UsageSource(told.scope, dict(told.counts), now, now, is_complete=False)
 
 
-def add(counts: Counts, organisation: OrganisationName, usage: Usage) -> None:
+def add_usage(counts: UsageCounts, organisation: OrganisationName, usage: Usage) -> None:
     """Add to the count of one organisation."""
-    counts[organisation] = counts.get(organisation, NO_USAGE).plus(usage)
+    counts[organisation] = counts.get(organisation, NO_USAGE).with_added(usage)
--- a/packages/core/tests/test_adapter_demand.py
+++ b/packages/core/tests/test_adapter_demand.py
@@ -11,7 +11,7 @@
 )
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import HostId, TargetId
-from sardinequay_core.target_choice import EngineOption, AdapterState, LoadOnEngine, SendToEngine, choose_engine
+from sardinequay_core.target_choice import EngineOption, AdapterState, LoadOnEngine, SendToEngine, select_engine
 
 NOW = seconds(100)
 ENGINES = 39
@@ -36,7 +36,7 @@
     found = [AdapterDemand() for _ in range(hosts)]
     for n, name in enumerate(random.choices(names, weights, k=requests)):
         at = NOW - seconds(4 * (1 - n / requests))
-        random.choice(found).note(name, at)
+        random.choice(found).record_request(name, at)
     return found
 
 
@@ -66,10 +66,10 @@
 def test_demand_that_moved_on_is_forgotten() -> None:
     demand = AdapterDemand()
     for _ in range(40):
-        demand.note("m/old", NOW)
+        demand.record_request("m/old", NOW)
     later = NOW + seconds(20)
     for _ in range(20):
-        demand.note("m/new", later)
+        demand.record_request("m/new", later)
     assert demand.desired_copies("m/old", ENGINES, later) <= 6
     assert demand.desired_copies("m/new", ENGINES, later) >= 30
 
@@ -93,7 +93,7 @@
         option(1, AdapterState.RESIDENT, 0.9),
         *(option(n, AdapterState.ABSENT, 0.1, rank=n) for n in range(2, 6)),
     ]
-    choice = choose_engine(options, 4.0, due)
+    choice = select_engine(options, 4.0, due)
     if due == 1:
         assert isinstance(choice, SendToEngine)
     else:
@@ -106,4 +106,4 @@
         option(0, AdapterState.RESIDENT, 0.2),
         option(1, AdapterState.ABSENT, 0.1, rank=1),
     ]
-    assert isinstance(choose_engine(options, 4.0, 8), SendToEngine)
+    assert isinstance(select_engine(options, 4.0, 8), SendToEngine)
--- a/packages/core/tests/test_catalogue.py
+++ b/packages/core/tests/test_catalogue.py
@@ -21,7 +21,7 @@
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import Address, DataCentre, PoolName, TargetId
 from sardinequay_core.roster import Presence, Target, TargetKind
-from sardinequay_core.serving import CallerLimits, make_config
+from sardinequay_core.serving import CallerLimits, make_serving_config
 
 NOW = seconds(100)
 PROMPT = Absence()
@@ -41,7 +41,7 @@
 
 
 def config(version: int) -> ConfigPublished:
-    return ConfigPublished(make_config(version, (), (), CallerLimits()))
+    return ConfigPublished(make_serving_config(version, (), (), CallerLimits()))
 
 
 @pytest.fixture
--- a/packages/core/tests/test_engine_book.py
+++ b/packages/core/tests/test_engine_book.py
@@ -138,12 +138,12 @@
 
 def test_load_that_takes_longer_is_waited_for_and_learned_from(book) -> None:
     book.used_at.pop(ref("y"))
-    before = book.times.cold_s
+    before = book.times.cold_load_s
     book.accepted(LoadAdapter(ref("z")), holds_already=False, now=later(1))
     book.settle(later(1.3))
     book.missing(ref("z"), later(1.31))
     assert ref("z") in book.coming
-    assert book.times.cold_s > before
+    assert book.times.cold_load_s > before
 
 
 def test_expected_wait_grows_with_the_queue(book) -> None:
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -11,10 +11,10 @@
     RetryPolicy,
 )
 from sardinequay_core.clock import seconds
-from sardinequay_core.demand import DemandTable
+from sardinequay_core.demand_table import DemandTable
 from sardinequay_core.load_queue import LoadPolicy, LoadQueue
 from sardinequay_core.names import AdapterRef
-from sardinequay_core.outcome import SENT_REASONS, Outcome, Reason, not_run
+from sardinequay_core.outcome import SENT_REASONS, Outcome, Reason, not_run_refusal
 from sardinequay_core.rendezvous import rank, rank_weighted
 
 NOW = seconds(100)
@@ -23,22 +23,22 @@
 
 def test_high_priority_reaches_places_that_low_does_not() -> None:
     admission = Admission(AdmissionPolicy(max_in_flight=8, reserved_share=0.25))
-    assert all(admission.enter(0) for _ in range(6))
-    assert not admission.enter(0)
-    assert admission.enter(9)
-    assert admission.enter(9)
-    assert not admission.enter(9)
+    assert all(admission.try_enter(0) for _ in range(6))
+    assert not admission.try_enter(0)
+    assert admission.try_enter(9)
+    assert admission.try_enter(9)
+    assert not admission.try_enter(9)
 
 
 def test_retries_stay_a_share_of_first_attempts() -> None:
     budget = RetryBudget(RetryPolicy(ratio=0.125, max_saved=2))
-    assert [budget.spend(1) for _ in range(2)] == [True, False]
+    assert [budget.try_spend(1) for _ in range(2)] == [True, False]
     for _ in range(8):
-        budget.first_attempt()
-    assert [budget.spend(1) for _ in range(2)] == [True, False]
+        budget.record_first_attempt()
+    assert [budget.try_spend(1) for _ in range(2)] == [True, False]
     for _ in range(80):
-        budget.first_attempt()
-    assert [budget.spend(1) for _ in range(3)] == [True, True, False]
+        budget.record_first_attempt()
+    assert [budget.try_spend(1) for _ in range(3)] == [True, True, False]
 
 
 def test_hosts_that_start_again_and_again_get_no_retries_for_it() -> None:
@@ -46,12 +46,12 @@
     retries = 0
     for _ in range(starts):
         budget = RetryBudget(RetryPolicy())
-        retries += sum(budget.spend(1) for _ in range(10))
+        retries += sum(budget.try_spend(1) for _ in range(10))
     assert retries <= starts
 
 
 def test_attempts_for_one_request_are_bounded() -> None:
-    assert not RetryBudget(RetryPolicy(max_attempts=3)).spend(3)
+    assert not RetryBudget(RetryPolicy(max_attempts=3)).try_spend(3)
 
 
 def test_most_wanted_adapter_is_loaded_first() -> None:
@@ -95,7 +95,7 @@
 def test_demand_halves_and_is_forgotten() -> None:
     demand = DemandTable(half_life=seconds(10))
     demand.record_requests(X, NOW, 8)
-    assert demand.value(X, NOW + seconds(20)) == pytest.approx(2)
+    assert demand.decayed_count(X, NOW + seconds(20)) == pytest.approx(2)
     demand.prune_idle(NOW + seconds(200))
     assert demand.counts == {}
 
@@ -120,8 +120,8 @@
 def test_only_reasons_from_before_dispatch_say_not_run(reason: Reason) -> None:
     if reason in SENT_REASONS:
         with pytest.raises(ValueError, match="does not prove"):
-            not_run(reason, "")
+            not_run_refusal(reason, "")
     else:
-        refusal = not_run(reason, "", timedelta(seconds=1))
+        refusal = not_run_refusal(reason, "", timedelta(seconds=1))
         assert refusal.outcome is Outcome.NOT_RUN
         assert 400 <= refusal.status < 600
--- a/packages/core/tests/test_load_view.py
+++ b/packages/core/tests/test_load_view.py
@@ -49,7 +49,7 @@
 
 def test_host_is_told_the_part_of_all_others() -> None:
     view = LoadView()
-    view.record_sent(E, 7)
+    view.record_dispatch(E, 7)
     view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
     view.apply_peer_shares(H2, {F: EngineShare(0, 2)}, NOW)
     assert view.shares_excluding(H1, NOW) == {E: EngineShare(7, 0), F: EngineShare(0, 2)}
@@ -65,8 +65,8 @@
 
 
 def fleet_of(hosts: int) -> tuple[LoadView, list[LoadView]]:
-    views = [LoadView(uses_fleet_pace=True) for _ in range(hosts)]
-    return LoadView(uses_fleet_pace=True), views
+    views = [LoadView(has_fleet_pace=True) for _ in range(hosts)]
+    return LoadView(has_fleet_pace=True), views
 
 
 def exchange(hub: LoadView, hosts: list[LoadView], now) -> None:
--- a/packages/core/tests/test_relay_decisions.py
+++ b/packages/core/tests/test_relay_decisions.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sardinequay_core.retry_decision import AttemptEnd, AttemptsSoFar, Next, next_step
+from sardinequay_core.retry_decision import AttemptEnd, AttemptCounts, RetryDecision, decide_retry
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.clock import ZERO, seconds
 from sardinequay_core.load_view import EngineShare, LoadView
@@ -18,9 +18,9 @@
     TargetId,
 )
 from sardinequay_core.repeat_budget import RepeatBudget, RepeatPolicy
-from sardinequay_core.residency import AdapterUses, Held, Residency
+from sardinequay_core.residency import AdapterUses, HeldAdapters, Residency
 from sardinequay_core.roster import Target, TargetKind
-from sardinequay_core.service_choice import ServiceOption, choose_target
+from sardinequay_core.service_choice import ServiceOption, select_target
 from sardinequay_core.serving import Repetition
 
 LEFT = timedelta(seconds=1)
@@ -30,37 +30,37 @@
 @pytest.mark.parametrize(
     ("repetition", "ends", "expected"),
     [
-        (Repetition.ONCE, [AttemptEnd.NOT_SENT], Next.AGAIN),
-        (Repetition.ONCE, [AttemptEnd.REJECTED], Next.AGAIN),
-        (Repetition.ONCE, [AttemptEnd.MAY_HAVE_RUN], Next.GIVE_UP_MAY_HAVE_RUN),
+        (Repetition.ONCE, [AttemptEnd.NOT_SENT], RetryDecision.RETRY),
+        (Repetition.ONCE, [AttemptEnd.REJECTED], RetryDecision.RETRY),
+        (Repetition.ONCE, [AttemptEnd.MAY_HAVE_RUN], RetryDecision.GIVE_UP_MAY_HAVE_RUN),
         (
             Repetition.ONCE,
             [AttemptEnd.REJECTED, AttemptEnd.MAY_HAVE_RUN],
-            Next.GIVE_UP_MAY_HAVE_RUN,
+            RetryDecision.GIVE_UP_MAY_HAVE_RUN,
         ),
-        (Repetition.STREAM, [AttemptEnd.BROKEN_OFF], Next.GIVE_UP_MAY_HAVE_RUN),
-        (Repetition.IDEMPOTENT, [AttemptEnd.MAY_HAVE_RUN], Next.AGAIN),
+        (Repetition.STREAM, [AttemptEnd.BROKEN_OFF], RetryDecision.GIVE_UP_MAY_HAVE_RUN),
+        (Repetition.IDEMPOTENT, [AttemptEnd.MAY_HAVE_RUN], RetryDecision.RETRY),
         (
             Repetition.IDEMPOTENT,
             [AttemptEnd.MAY_HAVE_RUN] * 2,
-            Next.GIVE_UP_MAY_HAVE_RUN,
+            RetryDecision.GIVE_UP_MAY_HAVE_RUN,
         ),
-        (Repetition.RESUMABLE_STREAM, [AttemptEnd.BROKEN_OFF], Next.AGAIN),
-        (Repetition.ONCE, [AttemptEnd.REJECTED] * 4, Next.GIVE_UP_NOT_RUN),
+        (Repetition.RESUMABLE_STREAM, [AttemptEnd.BROKEN_OFF], RetryDecision.RETRY),
+        (Repetition.ONCE, [AttemptEnd.REJECTED] * 4, RetryDecision.GIVE_UP_NOT_RUN),
     ],
 )
 def test_what_a_failed_attempt_permits(repetition, ends, expected) -> None:
-    so_far = AttemptsSoFar()
+    so_far = AttemptCounts()
     for end in ends:
-        so_far = so_far.after(end)
-    assert next_step(repetition, 2, so_far, LEFT, True) is expected
+        so_far = so_far.with_attempt(end)
+    assert decide_retry(repetition, 2, so_far, LEFT, True) is expected
 
 
 def test_no_time_or_no_budget_ends_a_request() -> None:
-    so_far = AttemptsSoFar().after(AttemptEnd.REJECTED)
+    so_far = AttemptCounts().with_attempt(AttemptEnd.REJECTED)
     for left, budget in ((ZERO, True), (LEFT, False)):
-        end = next_step(Repetition.IDEMPOTENT, 2, so_far, left, budget)
-        assert end is Next.GIVE_UP_NOT_RUN
+        end = decide_retry(Repetition.IDEMPOTENT, 2, so_far, left, budget)
+        assert end is RetryDecision.GIVE_UP_NOT_RUN
 
 
 def test_hosts_together_keep_the_budget_when_everything_fails() -> None:
@@ -71,18 +71,18 @@
     for n in range(800):
         now = seconds(20 + n * 0.0125)
         budget = budgets[n % 8]
-        budget.request(now)
+        budget.record_request(now)
         for _ in range(3):
-            if budget.use(8, now).has_room:
-                budget.begin()
-                budget.end(now)
+            if budget.current_usage(8, now).has_room:
+                budget.record_permitted()
+                budget.record_arrival(now)
                 repeats += 1
     assert 100 < repeats <= 0.2 * 800 + 56
 
 
 def test_load_counts_own_and_peers_requests_and_forgets_silent_peers() -> None:
     view = LoadView()
-    view.record_sent(E, 2000)
+    view.record_dispatch(E, 2000)
     view.apply_peer_shares(HostId("p"), {E: EngineShare(3000, 2)}, seconds(10))
     assert view.total_share(E, seconds(10)) == EngineShare(5000, 2)
     assert view.total_share(E, seconds(12)) == EngineShare(2000, 0)
@@ -99,17 +99,17 @@
     assert view.expected_first_event_s(E, 2000, ZERO) > 3 * before
 
 
-def service(name: str, in_work: int = 0, **more) -> ServiceOption:
+def service(name: str, in_flight: int = 0, **more) -> ServiceOption:
     fields = {"is_local": True, "is_full": False, "was_tried": False, "spread": 0.0}
-    return ServiceOption(TargetId(name), in_work, 6, **fields | more)
+    return ServiceOption(TargetId(name), in_flight, 6, **fields | more)
 
 
 def test_least_filled_service_is_taken() -> None:
-    assert choose_target([service("a", 3), service("b", 1)]) == "b"
-    assert choose_target([service("a", 1), service("b", 0, is_local=False)]) == "b"
-    assert choose_target([service("a"), service("b", 0, is_local=False)]) == "a"
-    assert choose_target([service("a", was_tried=True), service("b", 5)]) == "b"
-    assert choose_target([]) is None
+    assert select_target([service("a", 3), service("b", 1)]) == "b"
+    assert select_target([service("a", 1), service("b", 0, is_local=False)]) == "b"
+    assert select_target([service("a"), service("b", 0, is_local=False)]) == "a"
+    assert select_target([service("a", was_tried=True), service("b", 5)]) == "b"
+    assert select_target([]) is None
 
 
 @pytest.fixture
@@ -123,59 +123,59 @@
 def test_later_news_of_an_engine_replace_earlier(published) -> None:
     a, b = AdapterRef("m/a", "1"), AdapterRef("m/b", "1")
     residency = Residency()
-    assert residency.resident(published, a) == a
-    assert residency.hear(E, Held(10, 2, frozenset({b})))
-    assert residency.resident(published, a) is None
-    assert not residency.hear(E, Held(10, 1, frozenset({a})))
-    assert residency.hear(E, Held(11, 0, frozenset({a})))
-    assert residency.resident(published, a) == a
+    assert residency.resident_adapter(published, a) == a
+    assert residency.apply_update(E, HeldAdapters(10, 2, frozenset({b})))
+    assert residency.resident_adapter(published, a) is None
+    assert not residency.apply_update(E, HeldAdapters(10, 1, frozenset({a})))
+    assert residency.apply_update(E, HeldAdapters(11, 0, frozenset({a})))
+    assert residency.resident_adapter(published, a) == a
 
 
 def test_denied_adapter_is_not_resident_until_later_news(published) -> None:
     a = AdapterRef("m/a", "1")
     residency = Residency()
-    residency.hear(E, Held(10, 2, frozenset({a})))
-    residency.deny(published, a)
-    assert residency.resident(published, a) is None
-    residency.hear(E, Held(10, 3, frozenset({a})))
-    assert residency.resident(published, a) == a
+    residency.apply_update(E, HeldAdapters(10, 2, frozenset({a})))
+    residency.record_missing(published, a)
+    assert residency.resident_adapter(published, a) is None
+    residency.apply_update(E, HeldAdapters(10, 3, frozenset({a})))
+    assert residency.resident_adapter(published, a) == a
 
 
 def test_older_version_does_not_serve_a_newer_wish(published) -> None:
     residency = Residency()
-    assert residency.resident(published, AdapterRef("m/a", "2")) is None
-    residency.add(published, AdapterRef("m/a", "10"))
-    assert residency.resident(published, AdapterRef("m/a", "9")) is not None
+    assert residency.resident_adapter(published, AdapterRef("m/a", "2")) is None
+    residency.record_loaded(published, AdapterRef("m/a", "10"))
+    assert residency.resident_adapter(published, AdapterRef("m/a", "9")) is not None
 
 
 def test_uses_of_all_hosts_are_summed() -> None:
     a = AdapterRef("m/a", "1")
     uses = AdapterUses()
-    uses.change(E, a, 1)
-    uses.hear(HostId("p"), E, a, 2)
-    assert uses.on(E) == {a: 3}
-    uses.hear(HostId("p"), E, a, 0)
-    uses.change(E, a, -1)
-    assert uses.on(E) == {}
+    uses.adjust_own_count(E, a, 1)
+    uses.apply_peer_count(HostId("p"), E, a, 2)
+    assert uses.counts_on(E) == {a: 3}
+    uses.apply_peer_count(HostId("p"), E, a, 0)
+    uses.adjust_own_count(E, a, -1)
+    assert uses.counts_on(E) == {}
 
 
 def test_what_an_engine_held_before_it_started_again_is_void(published) -> None:
     residency = Residency()
     a = AdapterRef("m/a", "1")
-    assert residency.hear(E, Held(10, 9, frozenset({a}), incarnation=1_000))
+    assert residency.apply_update(E, HeldAdapters(10, 9, frozenset({a}), incarnation=1_000))
     anew = replace(published, incarnation=2_000, adapters=frozenset())
-    assert residency.resident(anew, a) is None
-    assert residency.hear(E, Held(10, 0, frozenset({a}), incarnation=2_000))
-    assert residency.resident(anew, a) == a
-    assert not residency.hear(E, Held(11, 99, frozenset(), incarnation=1_000))
+    assert residency.resident_adapter(anew, a) is None
+    assert residency.apply_update(E, HeldAdapters(10, 0, frozenset({a}), incarnation=2_000))
+    assert residency.resident_adapter(anew, a) == a
+    assert not residency.apply_update(E, HeldAdapters(11, 99, frozenset(), incarnation=1_000))
 
 
 def test_uses_of_an_engine_that_started_again_are_void() -> None:
     uses = AdapterUses()
     a = AdapterRef("m/a", "1")
-    uses.change(E, a, 1)
-    uses.hear(HostId("h2"), E, a, 2)
+    uses.adjust_own_count(E, a, 1)
+    uses.apply_peer_count(HostId("h2"), E, a, 2)
     uses.forget_target(E)
-    assert not uses.on(E)
-    assert uses.change(E, a, -1) <= 0
-    assert not uses.on(E)
+    assert not uses.counts_on(E)
+    assert uses.adjust_own_count(E, a, -1) <= 0
+    assert not uses.counts_on(E)
--- a/packages/core/tests/test_repeat_budget.py
+++ b/packages/core/tests/test_repeat_budget.py
@@ -12,19 +12,19 @@
     healed = seconds(60)
     sent = 0
     for second in range(20, 60):
-        if budget.use(1, seconds(second)).has_room:
-            budget.begin()
+        if budget.current_usage(1, seconds(second)).has_room:
+            budget.record_permitted()
             sent += 1
     for _ in range(sent):
-        budget.end(healed)
+        budget.record_arrival(healed)
     assert 0 < sent <= 8
-    assert not budget.use(1, healed + seconds(9)).has_room
+    assert not budget.current_usage(1, healed + seconds(9)).has_room
 
 
 def test_host_that_has_just_started_again_has_no_slack() -> None:
     budget = RepeatBudget(POLICY, slack_from=seconds(110))
-    assert not budget.use(1, seconds(109)).has_room
+    assert not budget.current_usage(1, seconds(109)).has_room
     for _ in range(5):
-        budget.request(seconds(109))
-    assert budget.use(1, seconds(109)).has_room
-    assert budget.use(1, seconds(110)).allowed > 5 * POLICY.ratio
+        budget.record_request(seconds(109))
+    assert budget.current_usage(1, seconds(109)).has_room
+    assert budget.current_usage(1, seconds(110)).allowed > 5 * POLICY.ratio
--- a/packages/core/tests/test_serving.py
+++ b/packages/core/tests/test_serving.py
@@ -12,8 +12,8 @@
     Repetition,
     Route,
     ServedModel,
-    Share,
-    make_config,
+    PoolShare,
+    make_serving_config,
 )
 
 
@@ -28,22 +28,22 @@
         goal=timedelta(seconds=0.1),
         priority=1,
         max_runs=1,
-        shares=(Share(PoolName("p"), 1.0),),
+        shares=(PoolShare(PoolName("p"), 1.0),),
     )
 
 
 def test_longest_prefix_of_the_host_wins(route: Route) -> None:
     longer = replace(route, name="longer", prefix="/x/y/")
     other = replace(route, name="other", host="b.example", prefix="/x/y/z/")
-    config = make_config(1, (route, longer, other), (), CallerLimits())
-    assert config.match("a.example", "/x/y/z/1") == longer
-    assert config.match("a.example", "/x/1") == route
-    assert config.match("a.example", "/y/") is None
-    assert config.match("c.example", "/x/") is None
+    config = make_serving_config(1, (route, longer, other), (), CallerLimits())
+    assert config.match_route("a.example", "/x/y/z/1") == longer
+    assert config.match_route("a.example", "/x/1") == route
+    assert config.match_route("a.example", "/y/") is None
+    assert config.match_route("c.example", "/x/") is None
 
 
 def test_split_traffic_keeps_its_shares_and_each_request_its_way(route: Route) -> None:
-    shares = (Share(PoolName("p"), 90), Share(PoolName("q"), 10))
+    shares = (PoolShare(PoolName("p"), 90), PoolShare(PoolName("q"), 10))
     split = replace(route, shares=shares)
     ids = [f"request-{n}" for n in range(4000)]
     to_q = sum(split.pool_for(i) == "q" for i in ids)
@@ -78,9 +78,9 @@
 def test_memory_bounds_the_places_for_adapters(weight_mb, held, places) -> None:
     models = (ServedModel("m", 100, 9, 10), ServedModel("n", 40, 9, 10))
     pool = EnginePool(8, 1000, weight_mb, 6, 2, models)
-    assert pool.adapter_places(held) == places
+    assert pool.adapter_capacity(held) == places
 
 
 def test_model_that_does_not_fit_is_never_loaded() -> None:
     models = (ServedModel("m", 100, 9, 10), ServedModel("n", 40, 9, 10))
-    assert EnginePool(8, 1000, 60, 6, 2, models).loadable() == ("n",)
+    assert EnginePool(8, 1000, 60, 6, 2, models).loadable_models() == ("n",)
--- a/packages/core/tests/test_target_choice.py
+++ b/packages/core/tests/test_target_choice.py
@@ -12,7 +12,7 @@
     NoEngine,
     SendToEngine,
     EnginesTooBusy,
-    choose_engine,
+    select_engine,
 )
 
 
@@ -22,67 +22,67 @@
 
 def test_engine_that_has_the_adapter_is_taken() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT)]
-    assert choose_engine(options, 2.0) == SendToEngine(TargetId("b"), 0.1)
+    assert select_engine(options, 2.0) == SendToEngine(TargetId("b"), 0.1)
 
 
 def test_short_queue_is_no_reason_for_a_further_copy() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 0.6)]
-    assert isinstance(choose_engine(options, 2.0), SendToEngine)
+    assert isinstance(select_engine(options, 2.0), SendToEngine)
 
 
 def test_long_queue_is_none_either() -> None:
     """Replay a hot adapter: each copy of it took the place of one that is asked for."""
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 1.4)]
-    assert isinstance(choose_engine(options, 3.0), SendToEngine)
+    assert isinstance(select_engine(options, 3.0), SendToEngine)
 
 
 def test_very_long_queue_is() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 2.6)]
-    assert choose_engine(options, 4.0) == LoadOnEngine(TargetId("a"), pytest.approx(0.4))
+    assert select_engine(options, 4.0) == LoadOnEngine(TargetId("a"), pytest.approx(0.4))
 
 
 def test_what_a_copy_counts_for_refuses_nobody() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 1.9)]
-    assert choose_engine(options, 1.0) == LoadOnEngine(TargetId("a"), pytest.approx(0.4))
+    assert select_engine(options, 1.0) == LoadOnEngine(TargetId("a"), pytest.approx(0.4))
 
 
 def test_engine_that_begins_in_time_goes_before_one_that_had_the_adapter() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RECENT, 1.2)]
-    assert choose_engine(options, 1.0).target == "a"
+    assert select_engine(options, 1.0).target == "a"
 
 
 def test_engine_that_had_the_adapter_lately_loads_it_again() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RECENT)]
-    assert choose_engine(options, 2.0).target == "b"
+    assert select_engine(options, 2.0).target == "b"
 
 
 def test_absent_adapter_goes_to_its_home_when_all_is_equal() -> None:
     options = [option("a", home_rank=1), option("b", home_rank=0)]
-    assert choose_engine(options, 2.0).target == "b"
+    assert select_engine(options, 2.0).target == "b"
 
 
 def test_queue_for_places_is_avoided() -> None:
     full = option("a", queued=6, turnover_s=0.2, home_rank=0)
     other = option("b", queued=0, turnover_s=0.2, home_rank=1)
-    assert choose_engine([full, other], 3.0).target == "b"
+    assert select_engine([full, other], 3.0).target == "b"
 
 
 def test_refused_at_once_when_nothing_can_begin_in_time() -> None:
     options = [option("a", AdapterState.RESIDENT, 2.0), option("b", first_s=2.2)]
-    refused = choose_engine(options, 1.0)
+    refused = select_engine(options, 1.0)
     assert isinstance(refused, EnginesTooBusy)
     assert refused.wait_s == pytest.approx(2.0 * 0.6)
-    nearly = choose_engine([option("a", AdapterState.RESIDENT, 1.0)], 0.5)
+    nearly = select_engine([option("a", AdapterState.RESIDENT, 1.0)], 0.5)
     assert nearly.wait_s == pytest.approx(0.6)
 
 
 def test_what_the_keeper_said_goes_before_estimates() -> None:
-    options = [option("a", told_s=5.0, free_places=2), option("b", first_s=0.4)]
-    assert choose_engine(options, 2.0).target == "b"
+    options = [option("a", keeper_estimate_s=5.0, free_places=2), option("b", first_s=0.4)]
+    assert select_engine(options, 2.0).target == "b"
 
 
 def test_nobody_to_order_loads() -> None:
     options = [option("a", may_load=False), option("b", may_load=False)]
-    assert choose_engine(options, 2.0) == NoEngine()
-    held = replace(options[0], holding=AdapterState.RESIDENT)
-    assert isinstance(choose_engine([held, options[1]], 2.0), SendToEngine)
+    assert select_engine(options, 2.0) == NoEngine()
+    held = replace(options[0], adapter_state=AdapterState.RESIDENT)
+    assert isinstance(select_engine([held, options[1]], 2.0), SendToEngine)
--- a/packages/core/tests/test_usage_view.py
+++ b/packages/core/tests/test_usage_view.py
@@ -4,62 +4,62 @@
 from hypothesis import strategies as st
 
 from sardinequay_core.clock import Instant, seconds
-from sardinequay_core.fleet_topology import Scope
+from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.names import HostId
 from sardinequay_core.organisations import OrganisationName
-from sardinequay_core.usage_view import Counts, Told, Usage, UsageView
+from sardinequay_core.usage_view import UsageCounts, ReportedUsage, Usage, UsageView
 
 NAME = OrganisationName("north")
 A, B, C, FAR = (HostId(name) for name in ("a", "b", "c", "far"))
 
 
 def tell(
-    view: UsageView, host: HostId, scope: Scope, counts: Counts, now: Instant
+    view: UsageView, host: HostId, scope: DigestScope, counts: UsageCounts, now: Instant
 ) -> None:
-    view.hear(host, Told(scope, counts, seconds(0)), now)
+    view.apply_report(host, ReportedUsage(scope, counts, seconds(0)), now)
 
 
 def test_hub_tells_each_host_what_all_others_used() -> None:
     hub, now = UsageView(), seconds(10)
-    hub.note(NAME, Usage(1, 1), now)
-    tell(hub, A, Scope.HOST, {NAME: Usage(10, 10)}, now)
-    tell(hub, B, Scope.HOST, {NAME: Usage(100, 90)}, now)
-    tell(hub, FAR, Scope.DATA_CENTRE, {NAME: Usage(1_000, 900)}, now)
-    assert hub.all_but(A, now) == {NAME: Usage(1_101, 991)}
-    assert hub.here(now) == {NAME: Usage(111, 101)}
+    hub.record_usage(NAME, Usage(1, 1), now)
+    tell(hub, A, DigestScope.HOST, {NAME: Usage(10, 10)}, now)
+    tell(hub, B, DigestScope.HOST, {NAME: Usage(100, 90)}, now)
+    tell(hub, FAR, DigestScope.DATA_CENTRE, {NAME: Usage(1_000, 900)}, now)
+    assert hub.counts_excluding(A, now) == {NAME: Usage(1_101, 991)}
+    assert hub.data_centre_counts(now) == {NAME: Usage(111, 101)}
 
 
 def test_sum_for_a_host_does_not_fall_when_another_is_gone() -> None:
     hub, now = UsageView(), seconds(10)
-    tell(hub, A, Scope.HOST, {NAME: Usage(10, 10)}, now)
-    tell(hub, B, Scope.HOST, {NAME: Usage(100, 100)}, now)
-    hub.forget(A, now)
-    assert hub.all_but(B, now) == {NAME: Usage(10, 10)}
+    tell(hub, A, DigestScope.HOST, {NAME: Usage(10, 10)}, now)
+    tell(hub, B, DigestScope.HOST, {NAME: Usage(100, 100)}, now)
+    hub.forget_peer(A, now)
+    assert hub.counts_excluding(B, now) == {NAME: Usage(10, 10)}
 
 
 def test_own_use_of_a_host_that_comes_back_is_not_told_to_it() -> None:
     hub, now = UsageView(), seconds(10)
-    tell(hub, A, Scope.HOST, {NAME: Usage(10, 10)}, now)
-    hub.forget(A, now)
-    tell(hub, A, Scope.HOST, {NAME: Usage(5, 5)}, now)
-    assert hub.all_but(A, now) == {NAME: Usage()}
+    tell(hub, A, DigestScope.HOST, {NAME: Usage(10, 10)}, now)
+    hub.forget_peer(A, now)
+    tell(hub, A, DigestScope.HOST, {NAME: Usage(5, 5)}, now)
+    assert hub.counts_excluding(A, now) == {NAME: Usage()}
 
 
 def test_sum_foresees_a_data_centre_that_fell_silent() -> None:
     hub = UsageView()
     for n in range(20):
         counts = {NAME: Usage(100 * n, 100 * n)}
-        tell(hub, FAR, Scope.DATA_CENTRE, counts, seconds(10 + 0.1 * n))
-    heard = hub.all_but(A, seconds(11.9))[NAME].admitted
-    later = hub.all_but(A, seconds(13.9))[NAME].admitted
+        tell(hub, FAR, DigestScope.DATA_CENTRE, counts, seconds(10 + 0.1 * n))
+    heard = hub.counts_excluding(A, seconds(11.9))[NAME].admitted
+    later = hub.counts_excluding(A, seconds(13.9))[NAME].admitted
     assert 1_800 < later - heard < 2_200
-    hub.forget(FAR, seconds(13.9))
-    assert hub.all_but(A, seconds(13.9))[NAME].admitted == later
+    hub.forget_peer(FAR, seconds(13.9))
+    assert hub.counts_excluding(A, seconds(13.9))[NAME].admitted == later
 
 
 def test_counts_that_did_not_change_lately_are_not_told() -> None:
     view = UsageView()
-    view.note(NAME, Usage(1, 1), seconds(10))
+    view.record_usage(NAME, Usage(1, 1), seconds(10))
     assert view.own_counts(seconds(11))
     assert not view.own_counts(seconds(20))
 
@@ -77,14 +77,14 @@
     now = seconds(1)
     for host, cost in steps:
         now += seconds(0.1)
-        hosts[host].note(NAME, Usage(cost, cost), now)
-        tell(hub, host, Scope.HOST, hosts[host].own_counts(now), now)
-        told = Told(Scope.FLEET, hub.all_but(host, now), seconds(0))
-        gains = hosts[host].hear(HostId("hub"), told, now)
+        hosts[host].record_usage(NAME, Usage(cost, cost), now)
+        tell(hub, host, DigestScope.HOST, hosts[host].own_counts(now), now)
+        told = ReportedUsage(DigestScope.FLEET, hub.counts_excluding(host, now), seconds(0))
+        gains = hosts[host].apply_report(HostId("hub"), told, now)
         known[host] += sum(gain.usage.admitted for gain in gains)
     for host in hosts:
-        told = Told(Scope.FLEET, hub.all_but(host, now), seconds(0))
-        gains = hosts[host].hear(HostId("hub"), told, now)
+        told = ReportedUsage(DigestScope.FLEET, hub.counts_excluding(host, now), seconds(0))
+        gains = hosts[host].apply_report(HostId("hub"), told, now)
         known[host] += sum(gain.usage.admitted for gain in gains)
     total = sum(cost for _, cost in steps)
     if not steps or now - seconds(3) > seconds(1.1):
@@ -100,51 +100,51 @@
     # brought the count of the whole hour, and the organisation was refused for seconds.
     view, quiet = UsageView(), OrganisationName("quiet")
     up = seconds(3600)
-    view.hear(A, Told(Scope.HOST, {NAME: Usage(5, 5)}, up), seconds(10))
+    view.apply_report(A, ReportedUsage(DigestScope.HOST, {NAME: Usage(5, 5)}, up), seconds(10))
     later = {NAME: Usage(5, 5), quiet: Usage(10**6, 10**6)}
-    gains = view.hear(A, Told(Scope.HOST, later, up), seconds(11))
+    gains = view.apply_report(A, ReportedUsage(DigestScope.HOST, later, up), seconds(11))
     assert sum(gain.usage.admitted for gain in gains) == 0
     later[quiet] = Usage(10**6 + 7, 10**6 + 7)
-    gains = view.hear(A, Told(Scope.HOST, later, up), seconds(11.3))
+    gains = view.apply_report(A, ReportedUsage(DigestScope.HOST, later, up), seconds(11.3))
     assert sum(gain.usage.admitted for gain in gains) == 7
 
 
 def test_first_count_of_a_peer_heard_since_its_start_is_news() -> None:
     view = UsageView()
-    view.hear(A, Told(Scope.HOST, {}, seconds(0.5)), seconds(10))
-    told = Told(Scope.HOST, {NAME: Usage(7, 7)}, seconds(60))
-    gains = view.hear(A, told, seconds(70))
+    view.apply_report(A, ReportedUsage(DigestScope.HOST, {}, seconds(0.5)), seconds(10))
+    told = ReportedUsage(DigestScope.HOST, {NAME: Usage(7, 7)}, seconds(60))
+    gains = view.apply_report(A, told, seconds(70))
     assert sum(gain.usage.admitted for gain in gains) == 7
 
 
 def test_who_is_told_first_hears_of_organisations_that_used_nothing() -> None:
     hub, host, quiet = UsageView(), UsageView(), OrganisationName("quiet")
-    hub.note(NAME, Usage(9, 9), seconds(1))
+    hub.record_usage(NAME, Usage(9, 9), seconds(1))
     up = seconds(60)
-    first = hub.all_but(A, seconds(60), also=(NAME, quiet))
+    first = hub.counts_excluding(A, seconds(60), also=(NAME, quiet))
     assert first == {NAME: Usage(9, 9), quiet: Usage()}
-    host.hear(HostId("hub"), Told(Scope.FLEET, first, up), seconds(60))
-    hub.note(quiet, Usage(5, 5), seconds(60.1))
-    told = Told(Scope.FLEET, hub.all_but(A, seconds(60.3)), up)
-    gains = host.hear(HostId("hub"), told, seconds(60.3))
+    host.apply_report(HostId("hub"), ReportedUsage(DigestScope.FLEET, first, up), seconds(60))
+    hub.record_usage(quiet, Usage(5, 5), seconds(60.1))
+    told = ReportedUsage(DigestScope.FLEET, hub.counts_excluding(A, seconds(60.3)), up)
+    gains = host.apply_report(HostId("hub"), told, seconds(60.3))
     assert sum(gain.usage.admitted for gain in gains) == 5
 
 
 def test_first_count_of_an_organisation_that_came_later_is_news() -> None:
     view, new, up = UsageView(), OrganisationName("new"), seconds(3600)
-    view.hear(A, Told(Scope.HOST, {NAME: Usage(5, 5)}, up), seconds(10))
-    view.opened_at[new] = seconds(20)
-    told = Told(Scope.HOST, {new: Usage(8, 8)}, up)
-    gains = view.hear(A, told, seconds(21))
+    view.apply_report(A, ReportedUsage(DigestScope.HOST, {NAME: Usage(5, 5)}, up), seconds(10))
+    view.added_at[new] = seconds(20)
+    told = ReportedUsage(DigestScope.HOST, {new: Usage(8, 8)}, up)
+    gains = view.apply_report(A, told, seconds(21))
     assert sum(gain.usage.admitted for gain in gains) == 8
 
 
 def test_what_a_cut_held_up_is_no_restart() -> None:
     # A digest of half a second ago came after a later one, once a cut was healed.
     view = UsageView()
-    view.hear(A, Told(Scope.HOST, {NAME: Usage(900, 900)}, seconds(50)), seconds(10))
-    late = Told(Scope.HOST, {NAME: Usage(800, 800)}, seconds(49.5), has_restarted=True)
-    gains = view.hear(A, late, seconds(10))
-    told = Told(Scope.HOST, {NAME: Usage(910, 910)}, seconds(50.2))
-    gains += view.hear(A, told, seconds(10.2))
+    view.apply_report(A, ReportedUsage(DigestScope.HOST, {NAME: Usage(900, 900)}, seconds(50)), seconds(10))
+    late = ReportedUsage(DigestScope.HOST, {NAME: Usage(800, 800)}, seconds(49.5), has_restarted=True)
+    gains = view.apply_report(A, late, seconds(10))
+    told = ReportedUsage(DigestScope.HOST, {NAME: Usage(910, 910)}, seconds(50.2))
+    gains += view.apply_report(A, told, seconds(10.2))
     assert sum(gain.usage.admitted for gain in gains) == 110
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -82,7 +82,7 @@
         if not self.exchange.terms.adapter:
             return None
         wanted = self.state.wanted(self.exchange.terms)
-        return self.state.residency.resident(self.published, wanted) or wanted
+        return self.state.residency.resident_adapter(self.published, wanted) or wanted
 
     def enter(self) -> None:
         """Count the attempt in."""
@@ -90,11 +90,11 @@
         now = self.clock.monotonic()
         self.expected_s = loads.expected_first_event_s(self.target_id, self.tokens, now)
         self.usual_s = loads.nominal_read_s(self.target_id, self.tokens, now)
-        loads.record_sent(self.target_id, self.tokens)
+        loads.record_dispatch(self.target_id, self.tokens)
         if not self.tokens:
             self.first_event()
         if self.adapter is not None:
-            count = self.state.uses.change(self.target_id, self.adapter, 1)
+            count = self.state.uses.adjust_own_count(self.target_id, self.adapter, 1)
             self.parts.wants.tell_use(self.target_id, self.adapter, count)
         self.state.health.record_sent(self.target_id)
 
@@ -103,7 +103,7 @@
         self.state.loads.record_end(self.target_id, self.tokens, self.has_first)
         self.state.health.record_request_end(self.target_id)
         if self.adapter is not None and self.is_same_start():
-            count = self.state.uses.change(self.target_id, self.adapter, -1)
+            count = self.state.uses.adjust_own_count(self.target_id, self.adapter, -1)
             if not count:
                 self.parts.wants.tell_use(self.target_id, self.adapter, count)
 
@@ -203,7 +203,7 @@
             if facts.instance and facts.instance != self.target_id:
                 self.judge(AttemptResult.CONNECTION_LOST)
             elif self.adapter is not None and self.is_same_start():
-                self.state.residency.deny(self.published, self.adapter)
+                self.state.residency.record_missing(self.published, self.adapter)
                 self.parts.wants.tell_missing(self.published, self.adapter)
         else:
             self.judge(AttemptResult.REJECTED)
@@ -231,7 +231,7 @@
         elif error.fault is TargetFault.LOST_ON_KEPT:
             # Targets close connections that they kept at any moment: that alone says
             # nothing against one.
-            end = AttemptEnd.LOST_ON_KEPT
+            end = AttemptEnd.LOST_ON_REUSED_CONNECTION
         elif error.fault is TargetFault.SILENT:
             self.judge(AttemptResult.TIMED_OUT)
         else:
@@ -261,7 +261,7 @@
         is_failure = answer.status >= SERVER_ERROR
         if is_failure:
             self.judge(AttemptResult.FAILED)
-            so_far = exchange.so_far.after(AttemptEnd.MAY_HAVE_RUN)
+            so_far = exchange.so_far.with_attempt(AttemptEnd.MAY_HAVE_RUN)
             if exchange.has_begun or (
                 exchange.route.repetition.may_run_again
                 and so_far.runs < exchange.route.max_runs
--- a/packages/daemon/src/sardinequay_daemon/caller_gate.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_gate.py
@@ -9,7 +9,7 @@
 
 from sardinequay_core.clock import seconds
 from sardinequay_core.organisations import Organisation
-from sardinequay_core.outcome import Reason, Refusal, not_run
+from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
 from sardinequay_core.quota_ledger import Admitted, OverQuota
 from sardinequay_core.serving import Route, ServingConfig
 
@@ -76,10 +76,10 @@
             text = (
                 f"the key is not in version {config.version}, known {age_s:.1f} s ago"
             )
-            return not_run(Reason.NO_BUNDLE, text, STALE_RETRY)
+            return not_run_refusal(Reason.NO_BUNDLE, text, STALE_RETRY)
         what = "the key is not known" if terms.key is not None else "a key is needed"
         text = f"{what} in version {config.version}"
-        return not_run(Reason.UNAUTHENTICATED, text)
+        return not_run_refusal(Reason.UNAUTHENTICATED, text)
 
     def admit(self, organisation: Organisation, terms: RequestTerms) -> Admitted | None:
         """Count a request against its organisation's quota; None if it has none.
@@ -103,12 +103,12 @@
         """Return the refusal of a request beyond its organisation's quota."""
         text = (
             f"organisation {over.organisation} asks for {over.asked_per_s:.0f} of"
-            f" {over.rate_per_s:.0f} a second, has {over.left:.0f} left, known"
-            f" {over.known.total_seconds():.2f} s ago; this request counts {over.cost}"
+            f" {over.rate_per_s:.0f} a second, has {over.remaining:.0f} left, known"
+            f" {over.data_age.total_seconds():.2f} s ago; this request counts {over.cost}"
         )
-        if over.come_back is None:
-            return not_run(Reason.OVER_QUOTA, f"{text}, more than ever fits")
-        return not_run(Reason.OVER_QUOTA, text, self.spread(over.come_back))
+        if over.retry_after is None:
+            return not_run_refusal(Reason.OVER_QUOTA, f"{text}, more than ever fits")
+        return not_run_refusal(Reason.OVER_QUOTA, text, self.spread(over.retry_after))
 
     def spread(self, wait: timedelta) -> timedelta:
         """Return when to come back, so that callers do not come together."""
@@ -116,4 +116,4 @@
 
     def give_back(self, admitted: Admitted) -> None:
         """Take back what was counted for a request that did not run."""
-        self.state.quotas.book.give_back(admitted, self.state.clock.monotonic())
+        self.state.quotas.book.refund(admitted, self.state.clock.monotonic())
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -16,7 +16,7 @@
 from sardinequay_core.clock import Instant
 from sardinequay_core.content import content_id
 from sardinequay_core.names import AdapterRef, RequestId, parse_adapter_ref
-from sardinequay_core.outcome import Reason, Refusal, not_run
+from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
 
 from .guarded_run import GuardedRun
 from .settings import LimitSettings
@@ -85,11 +85,11 @@
     """Check who calls and under which terms."""
     if bundle is None:
         text = "no bundle is in force yet"
-        return Failure(not_run(Reason.NO_BUNDLE, text, timedelta(seconds=1)))
+        return Failure(not_run_refusal(Reason.NO_BUNDLE, text, timedelta(seconds=1)))
     scheme, _, token = headers.get("Authorization", "").partition(" ")
     caller = bundle.caller(token) if scheme.lower() == "bearer" else None
     if caller is None:
-        return Failure(not_run(Reason.UNAUTHENTICATED, "no known bearer token"))
+        return Failure(not_run_refusal(Reason.UNAUTHENTICATED, "no known bearer token"))
     key = headers.get(KEY_HEADER, "")
     if KEY_HEADER in headers and not PRINTABLE.fullmatch(key):
         return Failure(bad_header(KEY_HEADER, key, "1 to 200 printable characters"))
@@ -108,7 +108,7 @@
 def bad_header(name: str, value: str, allowed: str) -> Refusal:
     """Return the refusal of a header's value."""
     text = f"{name} is {value[:80]!r}; allowed: {allowed}"
-    return not_run(Reason.BAD_HEADER, text)
+    return not_run_refusal(Reason.BAD_HEADER, text)
 
 
 def read_deadline(
@@ -126,7 +126,7 @@
         allowed = f"seconds from now, at most {limits.longest_request_s}"
         return Failure(bad_header(DEADLINE_HEADER, given, allowed))
     if value_s <= 0:
-        return Failure(not_run(Reason.DEADLINE_EXPIRED, "the deadline has passed"))
+        return Failure(not_run_refusal(Reason.DEADLINE_EXPIRED, "the deadline has passed"))
     return Success(timedelta(seconds=value_s))
 
 
@@ -148,16 +148,16 @@
     try:
         fields: Any = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        return Failure(not_run(Reason.MALFORMED, f"the body is no JSON: {error}"))
+        return Failure(not_run_refusal(Reason.MALFORMED, f"the body is no JSON: {error}"))
     model = fields.get("model") if isinstance(fields, dict) else None
     if not isinstance(model, str):
-        return Failure(not_run(Reason.MALFORMED, "the body names no model"))
+        return Failure(not_run_refusal(Reason.MALFORMED, "the body names no model"))
     ref = parse_adapter_ref(model)
     if not isinstance(ref, Success):
-        return Failure(not_run(Reason.MALFORMED, str(ref.failure())))
+        return Failure(not_run_refusal(Reason.MALFORMED, str(ref.failure())))
     stream = fields.get("stream", False)
     if not isinstance(stream, bool):
-        return Failure(not_run(Reason.MALFORMED, "stream is neither true nor false"))
+        return Failure(not_run_refusal(Reason.MALFORMED, "stream is neither true nor false"))
     return find_offer(envelope, ref.unwrap()).bind(
         lambda pool: Success(
             ModelRequest(envelope, path, body, ref.unwrap(), pool, stream)
@@ -172,12 +172,12 @@
     if adapter is None or not is_offered(adapter, envelope.caller):
         # Whether it exists for somebody else is not this caller's to know.
         text = f"model {str(ref)!r} is not offered to you"
-        return Failure(not_run(Reason.UNKNOWN_MODEL, text))
+        return Failure(not_run_refusal(Reason.UNKNOWN_MODEL, text))
     pool = bundle.pools.get(adapter.pool)
     if ref.version not in adapter.versions or pool is None:
         offered = ", ".join(adapter.versions)
         text = f"version {ref.version!r} is not offered; offered: {offered}"
-        return Failure(not_run(Reason.NOT_OFFERED, text))
+        return Failure(not_run_refusal(Reason.NOT_OFFERED, text))
     return Success(pool)
 
 
--- a/packages/daemon/src/sardinequay_daemon/callers.py
+++ b/packages/daemon/src/sardinequay_daemon/callers.py
@@ -12,11 +12,11 @@
 from opentelemetry.trace import Span
 from returns.result import Success
 
-from sardinequay_core.admission import OVERLOAD_RETRY, Admission
+from sardinequay_core.admission import OVERLOAD_RETRY_AFTER, Admission
 from sardinequay_core.bundle import Bundle
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.names import RequestId
-from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
+from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 
 from .answers import (
     ADAPTER_HEADER,
@@ -151,9 +151,9 @@
         if not isinstance(read, Success):
             raise Refused(read.failure())
         envelope = read.unwrap()
-        if not self.admission.enter(envelope.priority):
+        if not self.admission.try_enter(envelope.priority):
             text = "this host is full; requests of higher priority go first"
-            raise Refused(not_run(Reason.OVERLOADED, text, OVERLOAD_RETRY))
+            raise Refused(not_run_refusal(Reason.OVERLOADED, text, OVERLOAD_RETRY_AFTER))
         self.note_idle()
         try:
             return await self.within_deadline(exchange, envelope)
@@ -193,7 +193,7 @@
         service = envelope.bundle.service(http.path)
         if service is None or envelope.caller.name not in service.callers:
             text = f"nothing is offered to you at {http.path!r}"
-            raise Refused(not_run(Reason.UNKNOWN_ROUTE, text))
+            raise Refused(not_run_refusal(Reason.UNKNOWN_ROUTE, text))
         request = ServiceRequest(
             envelope, service, http.method, http.raw_path, http.headers, body
         )
@@ -212,7 +212,7 @@
             raise CallerGoneError from error
         if size > limit:
             text = f"the body exceeds {limit} bytes"
-            raise Refused(not_run(Reason.TOO_LARGE, text))
+            raise Refused(not_run_refusal(Reason.TOO_LARGE, text))
         return b"".join(parts)
 
     def models(self, envelope: Envelope) -> web.Response:
@@ -342,4 +342,4 @@
 def shutting_down() -> Refusal:
     """Return the refusal of a host that is stopping."""
     text = "this host is stopping; another one serves you"
-    return not_run(Reason.SHUTTING_DOWN, text, timedelta(seconds=1))
+    return not_run_refusal(Reason.SHUTTING_DOWN, text, timedelta(seconds=1))
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -14,7 +14,7 @@
 from sardinequay_core.claims import ClaimPolicy, ClaimVote, Settle
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.names import AttemptId, DataCentre
-from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
+from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
 from sardinequay_core.views import GuardAddress, View, home_of, view_of
 
@@ -175,7 +175,7 @@
     """Return the answer to a request whose key was not won."""
     if standing is not Standing.HELD:
         message = "the key's guards cannot be reached; the request was not started"
-        return not_run(Reason.CLAIM_UNAVAILABLE, message, RETRY_AFTER)
+        return not_run_refusal(Reason.CLAIM_UNAVAILABLE, message, RETRY_AFTER)
     settled = round_.settled()
     if settled is None:
         message = "another attempt holds the key; this one was not started"
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -16,11 +16,11 @@
 from sardinequay_core.catalogue import Catalogue
 from sardinequay_core.clock import Clock, Instant, seconds
 from sardinequay_core.names import Address, ContentId, HostId, TargetId
-from sardinequay_core.outcome import Reason, Refusal, not_run
+from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
 from sardinequay_core.quarantine import Quarantine, TargetEnd
 from sardinequay_core.rendezvous import rank
 from sardinequay_core.roster import Target
-from sardinequay_core.run_permits import PermitBook
+from sardinequay_core.run_permits import RunPermits
 
 from .content_messages import (
     AskPermit,
@@ -108,7 +108,7 @@
         self.fleet = fleet
         self.peers = peers
         self.clock = clock
-        self.permits = PermitBook()
+        self.permits = RunPermits()
         self.numbers = itertools.count()
         self.tasks: set[asyncio.Task[Any]] = set()
 
@@ -117,15 +117,15 @@
     def refuse_held(self, run: GuardedRun) -> None:
         """Refuse a request whose content is held."""
         now = self.clock.monotonic()
-        left = self.quarantine.hold_left(run.content, now)
+        left = self.quarantine.remaining_hold(run.content, now)
         if not left:
             return
         if run.may_have_run:
             raise Refused(may_have_run())
-        ends = self.quarantine.ends(run.content)
+        ends = self.quarantine.ends_of(run.content)
         age_s = (now - ends[-1].at).total_seconds()
         text = f"{len(ends)} targets ended under such requests, one {age_s:.1f} s ago"
-        raise Refused(not_run(Reason.QUARANTINED, text, left))
+        raise Refused(not_run_refusal(Reason.QUARANTINED, text, left))
 
     async def may_run(self, run: GuardedRun) -> bool:
         """Return whether a request may run now; after False, look at all anew.
@@ -142,7 +142,7 @@
         if await self.is_permitted(permit, content):
             run.permit = permit
             # What the giver knows may be news here.
-            return not self.quarantine.hold_left(content, self.clock.monotonic())
+            return not self.quarantine.remaining_hold(content, self.clock.monotonic())
         run.permit_waits += 1
         if run.permit_waits * LOOK_AGAIN_S > PERMIT_WAIT_S:
             raise Refused(self.not_permitted(run))
@@ -154,7 +154,7 @@
         if run.may_have_run:
             return may_have_run()
         text = "a target ended under a request like it, and another like it runs now"
-        return not_run(Reason.QUARANTINED, text, PERMIT_RETRY)
+        return not_run_refusal(Reason.QUARANTINED, text, PERMIT_RETRY)
 
     async def settled(self, run: GuardedRun, within_s: float) -> bool:
         """Wait until it is known whether the last target ended under a request.
@@ -196,20 +196,20 @@
         """Count a target's end against the content of a request that was there."""
         now = self.clock.monotonic()
         end = TargetEnd(broken.target.target_id, broken.incarnation, now)
-        if self.quarantine.add(broken.content, end, now):
+        if self.quarantine.record_target_end(broken.content, end, now):
             self.changed(broken.content, is_own=True)
 
     def answered(self, content: ContentId) -> None:
         """Take that a request was answered: it ends no target."""
         now = self.clock.monotonic()
-        if self.quarantine.clear(content, now, now):
+        if self.quarantine.clear_content(content, now, now):
             log.info("content cleared", extra={"content": content})
             self.fleet.tell_of(content, is_own=True)
 
     def lift(self, content: ContentId) -> bool:
         """Let a content go at an operator's word; return whether it was suspect."""
         now = self.clock.monotonic()
-        is_known = self.quarantine.clear(content, now, now)
+        is_known = self.quarantine.clear_content(content, now, now)
         log.warning("quarantine lifted", extra={"content": content, "known": is_known})
         if is_known:
             self.fleet.tell_of(content, is_own=True)
@@ -247,7 +247,7 @@
         self.hear(ask.news)
         content = ask.news.content
         now = self.clock.monotonic()
-        is_granted = not self.quarantine.hold_left(content, now) and self.permits.grant(
+        is_granted = not self.quarantine.remaining_hold(content, now) and self.permits.grant(
             content, ask.run, now
         )
         return PermitReply(is_granted, news_of(self.quarantine, content, now))
@@ -257,7 +257,7 @@
         if run.verdict is not None:
             await asyncio.wait((run.verdict,))
         content, permit = run.content, run.permit
-        self.permits.give_back(content, permit)
+        self.permits.release(content, permit)
         giver = self.giver(content)
         address = self.fleet.address_of(giver)
         if giver != self.me and address is not None:
@@ -268,7 +268,7 @@
     async def answer_back(self, back: PermitBack) -> ContentsReply:
         """Take a permit back."""
         self.hear(back.news)
-        self.permits.give_back(back.news.content, back.run)
+        self.permits.release(back.news.content, back.run)
         return ContentsReply(())
 
     # News.
@@ -286,7 +286,7 @@
     def changed(self, content: ContentId, is_own: bool) -> None:
         """Log a content that is held from now on, and have peers told."""
         now = self.clock.monotonic()
-        left = self.quarantine.hold_left(content, now)
+        left = self.quarantine.remaining_hold(content, now)
         if left:
             held = self.held_content(content, now)
             log.warning("content quarantined", extra=asdict(held))
@@ -297,12 +297,12 @@
     def held(self) -> list[HeldContent]:
         """Return the contents that are held."""
         now = self.clock.monotonic()
-        return [self.held_content(c, now) for c in self.quarantine.held(now)]
+        return [self.held_content(c, now) for c in self.quarantine.held_contents(now)]
 
     def held_content(self, content: ContentId, now: Instant) -> HeldContent:
         """Return one content that is held."""
-        ends = self.quarantine.ends(content)
-        left = self.quarantine.hold_left(content, now)
+        ends = self.quarantine.ends_of(content)
+        left = self.quarantine.remaining_hold(content, now)
         return HeldContent(
             content,
             [e.target for e in ends],
@@ -322,5 +322,5 @@
     def expire(self) -> None:
         """Forget what is old."""
         now = self.clock.monotonic()
-        self.quarantine.expire(now)
-        self.permits.expire(now)
+        self.quarantine.expire_suspicions(now)
+        self.permits.expire_permits(now)
--- a/packages/daemon/src/sardinequay_daemon/content_news.py
+++ b/packages/daemon/src/sardinequay_daemon/content_news.py
@@ -31,8 +31,8 @@
     """Take what a peer knows against a content; return whether anything is new."""
     is_new = False
     if news.cleared_s is not None:
-        is_new = quarantine.clear(news.content, now - seconds(news.cleared_s), now)
+        is_new = quarantine.clear_content(news.content, now - seconds(news.cleared_s), now)
     for seen in news.ends:
         end = TargetEnd(seen.target, seen.incarnation, now - seconds(seen.age_s))
-        is_new = quarantine.add(news.content, end, now) or is_new
+        is_new = quarantine.record_target_end(news.content, end, now) or is_new
     return is_new
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -6,9 +6,9 @@
 
 from sardinequay_core.adapter_demand import NO_DEMAND, Demand, popular_demand
 from sardinequay_core.clock import Clock, Instant, seconds
-from sardinequay_core.fleet_topology import Scope, scope_to_tell
+from sardinequay_core.fleet_topology import DigestScope, digest_scope
 from sardinequay_core.names import HostId
-from sardinequay_core.usage_view import Counts
+from sardinequay_core.usage_view import UsageCounts
 
 from .content_messages import ContentNews
 from .content_news import news_of
@@ -52,7 +52,7 @@
         self.contacts_told: dict[HostId, int] = {}
         self.members_told: dict[HostId, MemberState] = {}
         self.contents_told: dict[HostId, int] = {}
-        self.usage_told: dict[HostId, Scope] = {}
+        self.usage_told: dict[HostId, DigestScope] = {}
         self.greeted: set[HostId] = set()
 
     def digest(self, host_id: HostId) -> Digest:
@@ -85,18 +85,18 @@
         hub = self.fleet.hub()
         peer = self.fleet.peers.get(host_id)
         if peer is None:
-            return replace(digest, hub=hub, scope=Scope.NOBODY)
+            return replace(digest, hub=hub, scope=DigestScope.NOBODY)
         is_near = self.fleet.is_near(peer)
-        scope = scope_to_tell(hub.host_id, self.me.host_id, host_id, is_near)
+        scope = digest_scope(hub.host_id, self.me.host_id, host_id, is_near)
         if hub == self.me and self.state.is_gathering(self.clock.monotonic()):
-            scope = Scope.NOBODY
+            scope = DigestScope.NOBODY
         digest = replace(digest, hub=hub, scope=scope)
         match scope:
-            case Scope.HOST:
+            case DigestScope.HOST:
                 return self.of_host(digest, host_id)
-            case Scope.DATA_CENTRE:
+            case DigestScope.DATA_CENTRE:
                 return self.of_data_centre(digest, peer)
-            case Scope.FLEET:
+            case DigestScope.FLEET:
                 return self.of_fleet(digest, host_id)
         self.usage_told.pop(host_id, None)
         return digest
@@ -113,7 +113,7 @@
                 host_id, self.orders.recent_holdings(), TELL_AGAIN
             ),
             outcomes=self.state.health.tally.outcomes_to_report(now),
-            usage=self.untold_usage(host_id, Scope.HOST),
+            usage=self.untold_usage(host_id, DigestScope.HOST),
             demand=NO_DEMAND if self.fleet.is_mesh else self.state.demand.own_demand(now),
         )
 
@@ -129,7 +129,7 @@
             uses=uses,
             holdings=self.untold_holdings(host_id, self.orders.recent_holdings(), None),
             outcomes=self.state.health.tally.summed_outcomes(here, now),
-            usage=self.untold_usage(host_id, Scope.DATA_CENTRE),
+            usage=self.untold_usage(host_id, DigestScope.DATA_CENTRE),
             demand=self.most_wanted(here, now),
             live_hosts=self.fleet.live_hosts_here(),
         )
@@ -144,7 +144,7 @@
             shares=self.state.loads.shares_excluding(host_id, now),
             holdings=self.untold_holdings(host_id, known, None),
             outcomes=self.state.health.tally.summed_outcomes(others, now),
-            usage=self.untold_usage(host_id, Scope.FLEET),
+            usage=self.untold_usage(host_id, DigestScope.FLEET),
             demand=self.most_wanted(others, now),
             live_hosts=self.fleet.live_hosts,
             notes=HubNotes(self.untold_members(host_id), self.fleet.neighbours()),
@@ -197,21 +197,21 @@
         changed = quarantine.changed_since(first, MOST_CONTENTS)
         if not changed:
             return ()
-        self.contents_told[host_id] = quarantine.suspicions[changed[-1]].number
+        self.contents_told[host_id] = quarantine.suspicions[changed[-1]].change_number
         now = self.clock.monotonic()
         return tuple(news_of(quarantine, content, now) for content in changed)
 
-    def untold_usage(self, host_id: HostId, scope: Scope) -> Counts:
+    def untold_usage(self, host_id: HostId, scope: DigestScope) -> UsageCounts:
         """Return what organisations used where that changed lately; all at first."""
         book, now = self.state.quotas.book, self.clock.monotonic()
         is_first = self.usage_told.get(host_id) is not scope
         self.usage_told[host_id] = scope
         also = tuple(book.accounts) if is_first else ()
-        if scope is Scope.HOST:
+        if scope is DigestScope.HOST:
             return book.usage.own_counts(now, also)
-        if scope is Scope.DATA_CENTRE:
-            return book.usage.here(now, also)
-        return book.usage.all_but(host_id, now, also)
+        if scope is DigestScope.DATA_CENTRE:
+            return book.usage.data_centre_counts(now, also)
+        return book.usage.counts_excluding(host_id, now, also)
 
     def untold_members(self, host_id: HostId) -> tuple[Member, ...] | None:
         """Return the live hosts here, or None if a peer knows just these."""
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -18,7 +18,7 @@
 from sardinequay_core.admission import RetryBudget, RetryPolicy
 from sardinequay_core.leases import Use
 from sardinequay_core.names import Address, PoolName
-from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
+from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 
 from .caller_requests import ModelRequest, guarded_run
 from .claimer import Claimer
@@ -142,7 +142,7 @@
     ) -> AsyncGenerator[Events, None]:
         """Yield events from one engine after another until the answer is whole."""
         budget = self.budgets.of(request.pool.name)
-        budget.first_attempt()
+        budget.record_first_attempt()
         while True:
             # An engine's end also counts against the request, which would else end one
             # engine after the other.
@@ -265,7 +265,7 @@
             self.leases.avoid(use.target)
         is_repeatable = not request.envelope.key and not progress.last_event
         may_retry = error.proves_not_run or is_repeatable
-        if may_retry and budget.spend(progress.attempts):
+        if may_retry and budget.try_spend(progress.attempts):
             self.metrics.retries.inc({"pool": request.pool.name})
             return
         raise Refused(refusal_of(error, progress))
@@ -303,4 +303,4 @@
     reason = Reason.TARGET_REFUSED
     if error.fault is TargetFault.NOT_SENT:
         reason = Reason.TARGET_UNREACHABLE
-    return not_run(reason, f"no engine took the request: {error}", TARGET_RETRY_AFTER)
+    return not_run_refusal(reason, f"no engine took the request: {error}", TARGET_RETRY_AFTER)
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -8,7 +8,7 @@
 import aiohttp
 from opentelemetry.trace import Span
 
-from sardinequay_core.retry_decision import AttemptsSoFar
+from sardinequay_core.retry_decision import AttemptCounts
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.names import PoolName, TargetId
 from sardinequay_core.organisations import Organisation
@@ -61,7 +61,7 @@
     span: Span
     guarded: GuardedRun
     organisation: Organisation | None = None
-    so_far: AttemptsSoFar = field(default_factory=AttemptsSoFar)
+    so_far: AttemptCounts = field(default_factory=AttemptCounts)
     tried: frozenset[TargetId] = frozenset()
     rejections: Counter[TargetId] = field(default_factory=Counter)
     repeat: RepeatBudget | None = None
@@ -78,13 +78,13 @@
 
     def begin_repeat(self, budget: RepeatBudget) -> None:
         """Count the next attempt as a repeat that is under way."""
-        budget.begin()
+        budget.record_permitted()
         self.repeat = budget
 
     def end_repeat(self, now: Instant) -> None:
         """Take that a repeat that was under way has arrived, or will not any more."""
         if self.repeat is not None:
-            self.repeat.end(now)
+            self.repeat.record_arrival(now)
             self.repeat = None
 
     def left(self, now: Instant) -> timedelta:
--- a/packages/daemon/src/sardinequay_daemon/fleet_size.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_size.py
@@ -17,17 +17,17 @@
 
     def count(self) -> None:
         """Count the hosts that live now."""
-        self.share.count(self.fleet.live_hosts, self.clock.monotonic())
+        self.share.record_live_hosts(self.fleet.live_hosts, self.clock.monotonic())
 
     def hosts(self) -> int:
         """Return how many hosts lived lately, or are known and may live."""
         known = 1 + max(len(self.fleet.peers), len(self.fleet.seeds))
-        lately = self.share.hosts(self.fleet.live_hosts, self.assumed())
+        lately = self.share.recent_hosts(self.fleet.live_hosts, self.assumed())
         return max(lately, known)
 
     def part(self) -> float:
         """Return the part of all that falls to the hosts in touch."""
-        return self.share.part(self.fleet.live_hosts, self.assumed())
+        return self.share.reachable_share(self.fleet.live_hosts, self.assumed())
 
     def assumed(self) -> int:
         """Return how many hosts exist as far as a host knows that has just started."""
--- a/packages/daemon/src/sardinequay_daemon/fleet_task.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_task.py
@@ -18,7 +18,7 @@
 from returns.result import Success
 
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
-from sardinequay_core.fleet_topology import Scope
+from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.names import Address, ContentId, HostId, parse_address
 
 from .hub_table import HubTable
@@ -328,7 +328,7 @@
             store_age_s=digest.store_age_s,
             leaving_since=leaving_since,
             told_at=now,
-            is_hub=digest.scope in (Scope.DATA_CENTRE, Scope.FLEET),
+            is_hub=digest.scope in (DigestScope.DATA_CENTRE, DigestScope.FLEET),
             live_hosts=digest.live_hosts,
         )
         self.note_contact(digest.host)
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -218,7 +218,7 @@
 
     def make_content_guard(self, engines: HttpEngines) -> ContentGuard:
         """Make what stops requests under which targets end."""
-        quarantine = Quarantine(QuarantinePolicy(same_end=SAME_END))
+        quarantine = Quarantine(QuarantinePolicy(same_end_span=SAME_END))
         self.spread = ContentSpread(
             self.membership, self.peers, quarantine, self.clock, self.random
         )
@@ -382,7 +382,7 @@
     def refresh_metrics(self) -> None:
         """Bring metrics up to date that are read from the state when asked for."""
         self.metrics.in_flight.set({}, self.callers.admission.in_flight)
-        held = self.content_guard.quarantine.held(self.clock.monotonic())
+        held = self.content_guard.quarantine.held_contents(self.clock.monotonic())
         self.metrics.quarantined.set({}, len(held))
         in_place = self.rollout.in_place
         if in_place is not None:
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -367,7 +367,7 @@
             adapter=str(adapter),
             engine=order.use.target,
             waiting_requests=len(waiting.deadlines) if waiting else 0,
-            demand=round(queue.demand.value(adapter, now), 3),
+            demand=round(queue.demand.decayed_count(adapter, now), 3),
             priority=round(queue.priority(adapter, now), 3),
             others_waiting=[str(a) for a in queue.order(now)[:5] if a != adapter],
         )
--- a/packages/daemon/src/sardinequay_daemon/lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/lease_task.py
@@ -16,7 +16,7 @@
 from sardinequay_core.leases import HolderId, LeaseTable, Use
 from sardinequay_core.membership import Member
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
-from sardinequay_core.outcome import Reason, Refusal, not_run
+from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
 from sardinequay_core.rendezvous import rank_weighted
 from sardinequay_core.roster import EMPTY_ROSTER, Presence, Roster, Target
 
@@ -133,7 +133,7 @@
             now = self.clock.monotonic()
             if now >= deadline:
                 message = "the deadline passed before the adapter was loaded"
-                return Failure(not_run(Reason.DEADLINE_EXPIRED, message))
+                return Failure(not_run_refusal(Reason.DEADLINE_EXPIRED, message))
             if await self.acquire(pool, adapter):
                 continue
             refusal = await self.wait_for_load(pool, adapter, deadline)
@@ -194,9 +194,9 @@
         if isinstance(answer, Wanted):
             text = "the adapter cannot be loaded before the deadline"
             after = timedelta(seconds=answer.retry_after_s)
-            return not_run(Reason.LOAD_QUEUE_FULL, text, after)
+            return not_run_refusal(Reason.LOAD_QUEUE_FULL, text, after)
         if not live_engines(self.roster, pool):
-            return not_run(Reason.NO_TARGET, "no engine is live", NO_KEEPER_RETRY)
+            return not_run_refusal(Reason.NO_TARGET, "no engine is live", NO_KEEPER_RETRY)
         await asyncio.sleep(RETRY_PAUSE_S)
         return None
 
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -22,7 +22,7 @@
 from sardinequay_core.names import HostId, TargetId, parse_adapter_ref
 from sardinequay_core.residency import AdapterUses
 from sardinequay_core.roster import Presence
-from sardinequay_core.serving import EnginePool, Pool
+from sardinequay_core.serving import EnginePool, TargetPool
 
 from .order_lease_task import OrderLeaseTask
 from .ordered_engine import OrderedEngine, subject_of
@@ -239,7 +239,7 @@
             now = self.clock.monotonic()
             engine.wake.clear()
             self.fit_to_memory(engine)
-            step = book.next_step(self.uses.on(book.target), now)
+            step = book.next_step(self.uses.counts_on(book.target), now)
             engine.tell_ready()
             if isinstance(step, Rest):
                 await self.rest(engine, step.for_s)
@@ -264,14 +264,14 @@
         pool = config.pools.get(engine.published.target.pool) if config else None
         if pool is None or pool.engines is None:
             return
-        engine.book.places = pool.engines.adapter_places(engine.book.models)
+        engine.book.places = pool.engines.adapter_capacity(engine.book.models)
         engine.book.model_wanted = None
         if not engine.book.models and engine.book.orders is not None:
             engine.book.model_wanted = self.rarest_model(pool, pool.engines)
 
-    def rarest_model(self, pool: Pool, engines: EnginePool) -> str | None:
+    def rarest_model(self, pool: TargetPool, engines: EnginePool) -> str | None:
         """Return the model that the fewest engines of a pool hold."""
-        held = dict.fromkeys(engines.loadable(), 0)
+        held = dict.fromkeys(engines.loadable_models(), 0)
         for other in self.catalogue.live(pool.name):
             for model in other.models & held.keys():
                 held[model] += 1
@@ -341,7 +341,7 @@
                 "subject": subject_of(order),
                 "token": self.candidate.token,
                 "resident": [str(a) for a in engine.book.residents()],
-                "in_use": len(self.uses.on(engine.book.target)),
+                "in_use": len(self.uses.counts_on(engine.book.target)),
                 "coming": len(engine.book.coming),
                 "wanted": len(engine.book.wanted),
                 "outcome": outcome,
@@ -391,9 +391,9 @@
         known = self.uses.peers.get(host_id, {})
         hub = self.lease.fleet.hub_behind(host_id)
         if use.count or hub is None or (use.target, use.adapter) in known:
-            self.uses.hear(host_id, use.target, use.adapter, use.count)
+            self.uses.apply_peer_count(host_id, use.target, use.adapter, use.count)
         else:
-            self.uses.hear_end(hub, use.target, use.adapter)
+            self.uses.apply_peer_end(hub, use.target, use.adapter)
 
     # Telling.
 
@@ -421,7 +421,7 @@
                 len(e.book.wanted),
                 e.book.times.turnover_s,
                 e.book.incarnation,
-                self.uses.idle_among(e.book.target, e.book.residents()),
+                self.uses.count_idle(e.book.target, e.book.residents()),
             )
             for e in self.ordered.values()
             if e.book.orders is not None or e.book.number
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -3,11 +3,11 @@
 import asyncio
 import logging
 
-from sardinequay_core.retry_decision import AttemptEnd, Next, next_step
+from sardinequay_core.retry_decision import AttemptEnd, RetryDecision, decide_retry
 from sardinequay_core.clock import ZERO, Instant
 from sardinequay_core.names import TargetId
-from sardinequay_core.outcome import Reason, Refusal, not_run
-from sardinequay_core.repeat_budget import RepeatUse
+from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
+from sardinequay_core.repeat_budget import RepeatUsage
 from sardinequay_core.serving import Repetition
 from sardinequay_core.target_health import AttemptResult
 
@@ -41,7 +41,7 @@
         BrokenOffError
             If its answer had begun and was not completed.
         """
-        self.state.budget(exchange.pool).request(self.clock.monotonic())
+        self.state.budget(exchange.pool).record_request(self.clock.monotonic())
         try:
             await self.attempt_all(exchange, sink)
         finally:
@@ -60,7 +60,7 @@
                 continue
             attempt = Attempt(self.parts, exchange, target)
             end = await self.run(attempt, sink)
-            if end is AttemptEnd.LOST_ON_KEPT:
+            if end is AttemptEnd.LOST_ON_REUSED_CONNECTION:
                 end = await self.resend(attempt, sink)
             if end is None:
                 return
@@ -69,7 +69,7 @@
 
     def note_end(self, exchange: Exchange, target: TargetId, end: AttemptEnd) -> None:
         """Take how an attempt at a target failed."""
-        exchange.so_far = exchange.so_far.after(end)
+        exchange.so_far = exchange.so_far.with_attempt(end)
         exchange.guarded.may_have_run = exchange.so_far.runs > 0
         exchange.tried |= {target}
         if end is AttemptEnd.REJECTED:
@@ -92,7 +92,7 @@
         use = self.repeat_use(exchange, now)
         if exchange.left(now) <= ZERO or not use.has_room:
             return AttemptEnd.MAY_HAVE_RUN
-        self.log_step(exchange, AttemptEnd.LOST_ON_KEPT, Next.AGAIN, use)
+        self.log_step(exchange, AttemptEnd.LOST_ON_REUSED_CONNECTION, RetryDecision.RETRY, use)
         exchange.begin_repeat(self.state.budget(exchange.pool))
         again = Attempt(self.parts, exchange, lost.published, is_resend=True)
         end = await self.run(again, sink)
@@ -116,7 +116,7 @@
         route = exchange.route
         if exchange.has_begun and route.repetition is not Repetition.RESUMABLE_STREAM:
             raise BrokenOffError
-        step = next_step(
+        step = decide_retry(
             route.repetition,
             route.max_runs,
             exchange.so_far,
@@ -124,7 +124,7 @@
             within_budget,
         )
         self.log_step(exchange, end, step, use)
-        if step is Next.AGAIN:
+        if step is RetryDecision.RETRY:
             if end is not AttemptEnd.NOT_SENT:
                 exchange.begin_repeat(self.state.budget(exchange.pool))
             if end is AttemptEnd.REJECTED:
@@ -134,15 +134,15 @@
             raise BrokenOffError
         raise Refused(self.final_refusal(step, within_budget))
 
-    def repeat_use(self, exchange: Exchange, now: Instant) -> RepeatUse:
+    def repeat_use(self, exchange: Exchange, now: Instant) -> RepeatUsage:
         """Return what of this host's share of repeats at a pool is used."""
-        return self.state.budget(exchange.pool).use(self.state.size.hosts(), now)
+        return self.state.budget(exchange.pool).current_usage(self.state.size.hosts(), now)
 
     def log_step(
-        self, exchange: Exchange, end: AttemptEnd, step: Next, use: RepeatUse
+        self, exchange: Exchange, end: AttemptEnd, step: RetryDecision, use: RepeatUsage
     ) -> None:
         """Log whether another attempt may follow, and from what that was decided."""
-        is_permitted = step is Next.AGAIN
+        is_permitted = step is RetryDecision.RETRY
         label = "yes" if is_permitted else "no"
         self.parts.metrics.repeats.inc({"pool": exchange.pool, "permitted": label})
         log.info(
@@ -160,15 +160,15 @@
             },
         )
 
-    def final_refusal(self, step: Next, within_budget: bool) -> Refusal:
+    def final_refusal(self, step: RetryDecision, within_budget: bool) -> Refusal:
         """Return the answer to a request whose attempts are over."""
-        if step is Next.GIVE_UP_MAY_HAVE_RUN:
+        if step is RetryDecision.GIVE_UP_MAY_HAVE_RUN:
             return may_have_run()
         text = "no target took the request"
         if not within_budget:
             text += ", and the budget for further attempts is spent"
         wait = come_back(self.state.random, NO_TARGET_RETRY)
-        return not_run(Reason.TARGET_REFUSED, text, wait)
+        return not_run_refusal(Reason.TARGET_REFUSED, text, wait)
 
     async def run(self, attempt: Attempt, sink: Sink) -> AttemptEnd | None:
         """Send a request to one target; return how that failed, or None."""
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -12,7 +12,7 @@
 from sardinequay_core.clock import Clock, Instant, seconds
 from sardinequay_core.content import content_id
 from sardinequay_core.organisations import Organisation
-from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
+from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 from sardinequay_core.quota_ledger import Admitted
 from sardinequay_core.serving import CallerLimits, Route, ServingConfig
 
@@ -160,9 +160,9 @@
         limit = self.limits().max_header_bytes
         if size + len(http.raw_path) > limit:
             text = f"the headers exceed {limit} bytes"
-            raise Refused(not_run(Reason.HEADERS_TOO_LARGE, text))
+            raise Refused(not_run_refusal(Reason.HEADERS_TOO_LARGE, text))
         if not http.raw_path.startswith("/"):
-            raise Refused(not_run(Reason.MALFORMED, "the target is no path"))
+            raise Refused(not_run_refusal(Reason.MALFORMED, "the target is no path"))
         read = self.dialect.terms(http.headers)
         if not isinstance(read, Success):
             raise Refused(read.failure())
@@ -174,13 +174,13 @@
         config = self.state.catalogue.config
         if config is None:
             text = "no configuration is known yet"
-            raise Refused(not_run(Reason.NO_BUNDLE, text, NO_CONFIG_RETRY))
+            raise Refused(not_run_refusal(Reason.NO_BUNDLE, text, NO_CONFIG_RETRY))
         host = http.headers.get("Host", "")
         path = http.raw_path.partition("?")[0]
-        route = config.match(host, path) or config.match(host.partition(":")[0], path)
+        route = config.match_route(host, path) or config.match_route(host.partition(":")[0], path)
         if route is None:
             text = f"version {config.version} has no route there"
-            raise Refused(not_run(Reason.UNKNOWN_ROUTE, text))
+            raise Refused(not_run_refusal(Reason.UNKNOWN_ROUTE, text))
         return config, route
 
     def refuse_if_closing(self, route: Route) -> None:
@@ -191,7 +191,7 @@
         time_left = stops_at - self.clock.monotonic()
         if route.timeout > time_left or route.repetition.is_stream:
             text = "this host is stopping; others serve you"
-            raise Refused(not_run(Reason.SHUTTING_DOWN, text, STOPPING_RETRY))
+            raise Refused(not_run_refusal(Reason.SHUTTING_DOWN, text, STOPPING_RETRY))
 
     async def exchange(
         self,
@@ -253,12 +253,12 @@
                         raise Refused(too_large(limit))
                     if self.bodies_bytes > self.bodies_budget:
                         text = "the memory for bodies is used up"
-                        raise Refused(not_run(Reason.OVERLOADED, text, BODY_RETRY))
+                        raise Refused(not_run_refusal(Reason.OVERLOADED, text, BODY_RETRY))
             return b"".join(parts)
         except TimeoutError as error:
             self.bodies_bytes -= size
             text = "the body did not come in time"
-            raise Refused(not_run(Reason.DEADLINE_EXPIRED, text)) from error
+            raise Refused(not_run_refusal(Reason.DEADLINE_EXPIRED, text)) from error
         except BaseException:
             self.bodies_bytes -= size
             raise
@@ -266,7 +266,7 @@
 
 def too_large(limit: int) -> Refusal:
     """Return the refusal of a body beyond the limit."""
-    return not_run(Reason.TOO_LARGE, f"the body exceeds {limit} bytes")
+    return not_run_refusal(Reason.TOO_LARGE, f"the body exceeds {limit} bytes")
 
 
 Ready = Callable[[], bool]
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -11,7 +11,7 @@
 from sardinequay_core.adapter_demand import AdapterDemand
 from sardinequay_core.catalogue import Catalogue
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
-from sardinequay_core.fleet_topology import Scope
+from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.load_view import PEER_SHARE_EXPIRY, LoadView
 from sardinequay_core.names import (
     AdapterRef,
@@ -22,7 +22,7 @@
 )
 from sardinequay_core.quarantine import Quarantine
 from sardinequay_core.repeat_budget import RepeatBudget, RepeatPolicy
-from sardinequay_core.residency import AdapterUses, Held, Residency
+from sardinequay_core.residency import AdapterUses, HeldAdapters, Residency
 from sardinequay_core.target_health import TargetHealth
 
 from .fleet_quotas import FleetQuotas
@@ -106,7 +106,7 @@
         self.quotas.take_catalogue(before, catalogue)
         known = frozenset(catalogue.targets)
         self.health.prune_unlisted(known)
-        self.residency.forget(known)
+        self.residency.prune_unlisted(known)
 
     def forget_start(self, target_id: TargetId) -> None:
         """Drop what was learned of an earlier start of a target."""
@@ -117,12 +117,12 @@
     def take_digest(self, heard: HeardDigest) -> None:
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
         digest = heard.digest
-        self.loads.uses_fleet_pace = not self.fleet.is_mesh
+        self.loads.has_fleet_pace = not self.fleet.is_mesh
         self.loads.peer_expiry = max(PEER_SHARE_EXPIRY, self.fleet.longest_silence())
         match digest.scope:
-            case Scope.HOST | Scope.DATA_CENTRE if self.gathers():
+            case DigestScope.HOST | DigestScope.DATA_CENTRE if self.gathers():
                 self.take_part(heard)
-            case Scope.FLEET if self.fleet.hub() == digest.host:
+            case DigestScope.FLEET if self.fleet.hub() == digest.host:
                 self.take_sum(heard)
         for holdings in digest.holdings:
             self.hear_holdings(holdings, heard.at)
@@ -139,14 +139,14 @@
             # The sum over all hosts, told until now by a hub, counts this one, too.
             self.lose_peer(self.view_from)
             self.view_from = None
-        if digest.scope is Scope.DATA_CENTRE:
+        if digest.scope is DigestScope.DATA_CENTRE:
             self.lose_behind(digest.host)
         self.loads.apply_peer_shares(host_id, digest.shares, now)
         self.health.tally.apply_peer_outcomes(host_id, digest.outcomes, now)
         self.demand.apply_peer_demand(host_id, digest.demand, now)
         self.quotas.take_part(heard)
         uses = {(u.target, u.adapter): u.count for u in digest.uses}
-        self.uses.replace(host_id, uses)
+        self.uses.replace_peer_counts(host_id, uses)
 
     def is_gathering(self, now: Instant) -> bool:
         """Return whether this host was no hub until now and knows few hosts' parts.
@@ -170,7 +170,7 @@
         self.demand.apply_fleet_demand(host_id, digest.demand, now)
         self.quotas.take_sum(heard)
         for peer in tuple(self.uses.peers):
-            self.uses.forget(peer)
+            self.uses.forget_peer(peer)
 
     def lose_behind(self, hub: Contact) -> None:
         """Drop the parts of hosts that a data centre's hub speaks for."""
@@ -187,7 +187,7 @@
             parse_adapter_ref(text).unwrap(): now + seconds(in_s)
             for text, in_s in holdings.coming.items()
         }
-        held = Held(
+        held = HeldAdapters(
             holdings.token,
             holdings.number,
             frozenset(holdings.adapters),
@@ -198,14 +198,14 @@
             holdings.incarnation,
             holdings.idle,
         )
-        if self.residency.hear(holdings.target, held) and self.orders is not None:
+        if self.residency.apply_update(holdings.target, held) and self.orders is not None:
             self.orders.hear_holdings(holdings)
 
     def lose_peer(self, host_id: HostId) -> None:
         """Drop the share of a peer that is gone."""
         self.loads.forget_peer(host_id)
         self.health.tally.forget_peer(host_id)
-        self.uses.forget(host_id)
+        self.uses.forget_peer(host_id)
         self.demand.forget_peer(host_id)
         self.quotas.forget(host_id)
 
@@ -222,7 +222,7 @@
             for t, p in self.catalogue.targets.items()
             if p.target.data_centre == data_centre
         }
-        summed = self.uses.sum_of(hosts, targets)
+        summed = self.uses.summed_counts(hosts, targets)
         return tuple(AdapterUse(t, a, n) for (t, a), n in summed.items())
 
     def count_hosts(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -15,7 +15,7 @@
 from sardinequay_core.bundle import Service
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.names import TargetId
-from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
+from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 from sardinequay_core.roster import EMPTY_ROSTER, Presence, Roster, Target
 
 from .caller_requests import Envelope, guarded_run
@@ -125,7 +125,7 @@
         usable = [t for t in live if self.avoided.get(t.target_id, now) <= now]
         if not live:
             text = "no target of the service is live"
-            raise Refused(not_run(Reason.NO_TARGET, text, RETRY_AFTER))
+            raise Refused(not_run_refusal(Reason.NO_TARGET, text, RETRY_AFTER))
         return min(
             usable or live,
             key=lambda t: (self.in_flight.get(t.target_id, 0), self.random.random()),
@@ -254,7 +254,7 @@
         """Send the request to one target after another until one answers."""
         forwarder, request, progress = self.forwarder, self.request, self.progress
         budget = forwarder.budgets.of(request.service.pool)
-        budget.first_attempt()
+        budget.record_first_attempt()
         guard, run = forwarder.guard, self.run
         while True:
             # A target's end also counts against the request, which would else end one
@@ -281,7 +281,7 @@
                     guard.broke(run, target, 0, self.ran_s())
                     run.may_have_run = True
                 forwarder.after_failure(request, target, progress, error)
-                if not budget.spend(progress.attempts):
+                if not budget.try_spend(progress.attempts):
                     raise Refused(refusal_of(error, progress)) from error
                 forwarder.metrics.retries.inc({"pool": request.service.pool})
             finally:
@@ -307,4 +307,4 @@
     if error.fault is TargetFault.NOT_SENT:
         reason = Reason.TARGET_UNREACHABLE
     text = f"no target took the request: {error}"
-    return not_run(reason, text, RETRY_AFTER)
+    return not_run_refusal(reason, text, RETRY_AFTER)
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -13,7 +13,7 @@
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
 from sardinequay_core.names import Address, HostId
 from sardinequay_core.order_lease import Ballot, OrderPolicy, Resign
-from sardinequay_core.repeat_budget import SLACK_AFTER
+from sardinequay_core.repeat_budget import SLACK_DELAY
 from sardinequay_core.target_health import trial_turn_of
 
 from .attempt import RelayParts
@@ -142,7 +142,7 @@
             random,
             bounds.repeats,
             self.fleet,
-            slack_from=ZERO if profile.is_first_start else began + SLACK_AFTER,
+            slack_from=ZERO if profile.is_first_start else began + SLACK_DELAY,
         )
         self.state.quotas.take_policy(bounds.quotas)
         self.state.health.trial_turn = trial_turn_of(profile.host_id)
@@ -333,7 +333,7 @@
             self.metrics.in_flight.set({}, self.server.in_flight)
             self.guard.expire()
             self.state.count_hosts()
-            held = self.state.quarantine.held(self.clock.monotonic())
+            held = self.state.quarantine.held_contents(self.clock.monotonic())
             self.metrics.quarantined.set({}, len(held))
             config = self.state.catalogue.config
             self.metrics.config_version.set({}, config.version if config else 0)
--- a/packages/daemon/src/sardinequay_daemon/serving_messages.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sardinequay_core.adapter_demand import NO_DEMAND, Demand
-from sardinequay_core.fleet_topology import Scope
+from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.load_view import EngineShare
 from sardinequay_core.names import AdapterRef, HostId, TargetId
 from sardinequay_core.order_lease import Ballot, Resign, Vote
@@ -169,7 +169,7 @@
     news_revision: int
     store_age_s: float
     outcomes: dict[TargetId, Outcomes] = field(default_factory=dict)
-    scope: Scope = Scope.HOST
+    scope: DigestScope = DigestScope.HOST
     demand: Demand = NO_DEMAND
     hub: Contact | None = None
     live_hosts: int = 1
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -6,7 +6,7 @@
 from sardinequay_core.clock import Instant
 from sardinequay_core.names import PoolName, TargetId
 from sardinequay_core.rendezvous import rank
-from sardinequay_core.residency import Held
+from sardinequay_core.residency import HeldAdapters
 from sardinequay_core.service_choice import ServiceOption
 from sardinequay_core.target_choice import EngineOption, AdapterState
 
@@ -75,11 +75,11 @@
         """Return one engine as a model request may use it."""
         target = published.target
         target_id = target.target_id
-        held = self.state.residency.held(published)
+        held = self.state.residency.holdings_of(published)
         holding, ready_in_s = self.holding(published, held, terms, now)
         config = self.state.catalogue.config
         pool = config.pools[target.pool].engines if config else None
-        places = pool.adapter_places(published.models) if pool else 0
+        places = pool.adapter_capacity(published.models) if pool else 0
         return EngineOption(
             target=target_id,
             adapter_state=holding,
@@ -104,7 +104,7 @@
             keeper_estimate_s=told_s,
         )
 
-    def idle_adapters(self, target_id: TargetId, held: Held) -> int:
+    def idle_adapters(self, target_id: TargetId, held: HeldAdapters) -> int:
         """Return how many adapters of an engine no request uses.
 
         In a large fleet only the host that orders an engine knows all its uses.
@@ -114,12 +114,12 @@
         )
         if held.idle is not None and not is_mine and not self.state.fleet.is_mesh:
             return held.idle
-        return self.state.uses.idle_among(target_id, held.adapters)
+        return self.state.uses.count_idle(target_id, held.adapters)
 
     def holding(
         self,
         published: PublishedTarget,
-        held: Held,
+        held: HeldAdapters,
         terms: RequestTerms,
         now: Instant,
     ) -> tuple[AdapterState, float]:
@@ -128,9 +128,9 @@
             has_model = not terms.model or terms.model in published.models
             return (AdapterState.RESIDENT if has_model else AdapterState.ABSENT), 0.0
         wanted = self.state.wanted(terms)
-        if self.state.residency.resident(published, wanted) is not None:
+        if self.state.residency.resident_adapter(published, wanted) is not None:
             return AdapterState.RESIDENT, 0.0
-        coming_at = self.state.residency.coming_at(published, wanted)
+        coming_at = self.state.residency.expected_at(published, wanted)
         if coming_at is not None:
             return AdapterState.COMING, max(0.0, (coming_at - now).total_seconds())
         is_recent = str(wanted) in held.recent
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -8,15 +8,15 @@
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.names import AdapterRef, TargetId
-from sardinequay_core.outcome import Reason, Refusal, not_run
-from sardinequay_core.service_choice import choose_target
+from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
+from sardinequay_core.service_choice import select_target
 from sardinequay_core.target_choice import (
     MAX_WAIT_SHARE,
     LoadOnEngine,
     NoEngine,
     SendToEngine,
     EnginesTooBusy,
-    choose_engine,
+    select_engine,
 )
 
 from .attempt import RelayParts
@@ -81,7 +81,7 @@
     def choose_service(self, exchange: Exchange) -> PublishedTarget:
         """Return the target of a plain service with the least to do."""
         options = self.options.service_options(exchange.pool, exchange.tried)
-        found = choose_target(options)
+        found = select_target(options)
         if found is None:
             raise Refused(self.no_target(exchange))
         self.log_choice(exchange, found, "least filled", len(options))
@@ -108,14 +108,14 @@
             raise Refused(may_have_run())
         text = "each target of the pool has rejected the request"
         wait = come_back(self.state.random, NO_TARGET_RETRY)
-        raise Refused(not_run(Reason.TARGET_REFUSED, text, wait))
+        raise Refused(not_run_refusal(Reason.TARGET_REFUSED, text, wait))
 
     def no_target(self, exchange: Exchange) -> Refusal:
         """Return the refusal of a request for which there is no target."""
         if exchange.so_far.runs:
             return may_have_run()
         text = "no target of the pool is live"
-        return not_run(
+        return not_run_refusal(
             Reason.NO_TARGET, text, come_back(self.state.random, NO_TARGET_RETRY)
         )
 
@@ -125,7 +125,7 @@
         failed_asks = 0
         terms = exchange.terms
         if terms.adapter:
-            self.state.demand.note(terms.adapter, self.clock.monotonic())
+            self.state.demand.record_request(terms.adapter, self.clock.monotonic())
         while True:
             now = self.clock.monotonic()
             options = self.options.engine_options(
@@ -133,7 +133,7 @@
             )
             left_s = exchange.first_event_left_s(now)
             due = self.options.copies_due(terms, len(options))
-            choice = choose_engine(options, left_s, due)
+            choice = select_engine(options, left_s, due)
             if isinstance(choice, SendToEngine):
                 self.log_choice(
                     exchange,
@@ -167,9 +167,9 @@
         if isinstance(choice, EnginesTooBusy):
             text = f"no engine can begin within {left_s:.2f} s"
             wait = come_back(self.state.random, seconds(choice.wait_s))
-            return not_run(Reason.OVERLOADED, text, wait)
+            return not_run_refusal(Reason.OVERLOADED, text, wait)
         text = "no engine has the adapter, and none can be ordered to load it now"
-        return not_run(
+        return not_run_refusal(
             Reason.NO_TARGET, text, come_back(self.state.random, NO_KEEPER_RETRY)
         )
 
@@ -195,7 +195,7 @@
         # Its prompt counts there as work that waits. Uncounted, prompts that wait for
         # adapters all go to the engine that looks idle, and move on when their loads
         # are there, which then serve nobody.
-        loads.record_sent(target, terms.prompt_tokens)
+        loads.record_dispatch(target, terms.prompt_tokens)
         try:
             reply = await self.wants.ask(ask)
         finally:
@@ -224,8 +224,8 @@
         published = self.state.catalogue.targets.get(target)
         if published is None:
             return
-        if residency.resident(published, wanted) is None:
-            residency.add(published, wanted)
+        if residency.resident_adapter(published, wanted) is None:
+            residency.record_loaded(published, wanted)
 
     def log_choice(
         self,
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -151,7 +151,7 @@
 
 async def test_suspects_run_one_at_a_time_in_the_fleet(net, clock) -> None:
     for guard in net.guards:
-        guard.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
+        guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     sent = [run() for _ in net.guards]
     permitted = [await g.may_run(e) for g, e in zip(net.guards, sent, strict=True)]
     assert sum(permitted) == 1
@@ -163,8 +163,8 @@
 
 async def test_who_waits_too_long_for_a_permit_is_refused(net, clock) -> None:
     guard, other = others(net)[:2]
-    guard.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
-    other.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
+    guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
+    other.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     assert await guard.may_run(run())
     waiting = run()
     with pytest.raises(Refused) as caught:
@@ -177,7 +177,7 @@
 async def test_what_a_run_showed_comes_back_with_its_permit(net, clock) -> None:
     guard, other = others(net)[:2]
     for g in (guard, other):
-        g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
+        g.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     sent = run()
     assert await guard.may_run(sent)
     guard.broke(sent, target("e2"), 1, 0.1)
@@ -185,14 +185,14 @@
     while guard.tasks:
         await asyncio.gather(*guard.tasks)
     # The next host has not heard of the second end: the giver tells it.
-    assert not other.quarantine.hold_left(FATAL, clock.monotonic())
+    assert not other.quarantine.remaining_hold(FATAL, clock.monotonic())
     assert not await other.may_run(run())
-    assert other.quarantine.hold_left(FATAL, clock.monotonic())
+    assert other.quarantine.remaining_hold(FATAL, clock.monotonic())
 
 
 async def test_host_that_is_cut_off_lets_one_at_a_time_run(net, clock) -> None:
     guard = others(net)[0]
-    guard.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
+    guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     net.is_cut = True
     assert await guard.may_run(run())
     assert not await guard.may_run(run())
@@ -201,7 +201,7 @@
 async def test_answer_clears_it_for_all(net, clock) -> None:
     guard, other = net.guards[:2]
     for g in (guard, other):
-        g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
+        g.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     clock.turn(1)
     guard.answered(FATAL)
     other.hear(news_of(guard.quarantine, FATAL, clock.monotonic()))
--- a/packages/daemon/tests/test_content_spread.py
+++ b/packages/daemon/tests/test_content_spread.py
@@ -92,7 +92,7 @@
     now = spread.clock.monotonic()
     for number in (1, 2):
         end = TargetEnd(TargetId(f"e{number}"), 0, now)
-        spread.quarantine.add(FATAL, end, now)
+        spread.quarantine.record_target_end(FATAL, end, now)
     spread.tell_of(FATAL, is_own=True)
 
 
@@ -112,7 +112,7 @@
     assert net.messages == 2
     for spread in net.spreads.values():
         now = spread.clock.monotonic()
-        assert spread.quarantine.hold_left(FATAL, now) == seconds(5)
+        assert spread.quarantine.remaining_hold(FATAL, now) == seconds(5)
 
 
 async def test_what_a_host_heard_is_not_told_again(net) -> None:
--- a/packages/daemon/tests/test_errors.py
+++ b/packages/daemon/tests/test_errors.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sardinequay_core.errors import BundleError
-from sardinequay_core.outcome import Reason, not_run
+from sardinequay_core.outcome import Reason, not_run_refusal
 from sardinequay_daemon.errors import PeerError, StartError, TargetError, TargetFault
 from sardinequay_daemon.progress import Refused
 from sardinequay_daemon.wire import FrameError
@@ -18,7 +18,7 @@
         BundleError("reason", "detail"),
         FrameError("detail"),
         PeerError("address", "detail"),
-        Refused(not_run(Reason.OVERLOADED, "full")),
+        Refused(not_run_refusal(Reason.OVERLOADED, "full")),
         StartError("message", 3),
         TargetError(TargetFault.BROKEN, "detail"),
     ],
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sardinequay_core.fleet_topology import Scope
+from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.names import HostId, parse_address
 from sardinequay_daemon.fleet_task import FleetTask
 from sardinequay_daemon.peers import PeerCaller
@@ -226,7 +226,7 @@
             digest(
                 f"h{n}",
                 random.choice(("za", "zb", "zc")),
-                scope=Scope.DATA_CENTRE if hub else Scope.HOST,
+                scope=DigestScope.DATA_CENTRE if hub else DigestScope.HOST,
                 holds_lease=hub,
                 orders_in_s=random.choice((0.0, 3.0, FOREVER)) if hub else FOREVER,
                 store_age_s=random.choice((0.1, 2.0, FOREVER)),
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -15,7 +15,7 @@
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import Clock, seconds
 from sardinequay_core.fleet_share import ASSUMED_HOSTS
-from sardinequay_core.fleet_topology import Scope
+from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.load_view import EngineShare
 from sardinequay_core.names import (
     AdapterRef,
@@ -139,11 +139,11 @@
         """See a target end under a request."""
         now = self.fleet.clock.monotonic()
         end = TargetEnd(TargetId(target), 1, now)
-        self.state.quarantine.add(FATAL, end, now)
+        self.state.quarantine.record_target_end(FATAL, end, now)
 
     def holds(self) -> bool:
         now = self.fleet.clock.monotonic()
-        return bool(self.state.quarantine.hold_left(FATAL, now))
+        return bool(self.state.quarantine.remaining_hold(FATAL, now))
 
     def tell(self, host_id: HostId) -> Digest:
         return self.writer.digest(host_id)
@@ -247,7 +247,7 @@
 
 
 def test_requests_of_one_host_are_known_to_all_within_a_second(world: World) -> None:
-    world.hosts[7].state.loads.record_sent(E, 500)
+    world.hosts[7].state.loads.record_dispatch(E, 500)
     world.pass_time(1)
     now = world.clock.monotonic()
     for host in world.hosts:
@@ -259,7 +259,7 @@
     counts: Counter[int] = Counter()
     for _ in range(20):
         for host in random.sample(world.hosts, 10):
-            host.state.loads.record_sent(E, 100)
+            host.state.loads.record_dispatch(E, 100)
             counts[world.hosts.index(host)] += 1
         world.pass_time(0.2)
     world.pass_time(1)
@@ -299,7 +299,7 @@
     world.holder("za").orders.told = (holdings,)
     world.pass_time(1)
     assert all(
-        A in h.state.residency.told[E].adapters
+        A in h.state.residency.reported[E].adapters
         for h in world.hosts
         if h is not world.holder("za")
     )
@@ -315,20 +315,20 @@
     keeper = world.holder("za")
     users = [h for h in world.hosts if h.me.data_centre == "zc"][:3]
     for user in users:
-        user.state.uses.change(E, A, 1)
+        user.state.uses.adjust_own_count(E, A, 1)
         # Told at once, and once more in the sum of the user's hub.
-        keeper.state.uses.hear(user.me.host_id, E, A, 1)
+        keeper.state.uses.apply_peer_count(user.me.host_id, E, A, 1)
     world.pass_time(1)
-    assert keeper.state.uses.on(E) == {A: 3}
+    assert keeper.state.uses.counts_on(E) == {A: 3}
     for user in users:
-        user.state.uses.change(E, A, -1)
+        user.state.uses.adjust_own_count(E, A, -1)
     world.pass_time(1)
-    assert not keeper.state.uses.on(E)
+    assert not keeper.state.uses.counts_on(E)
 
 
 def test_lost_hub_is_replaced_and_what_is_known_stays(world: World) -> None:
     """Replay the loss of the host that orders a data centre's engines."""
-    world.hosts[7].state.loads.record_sent(E, 500)
+    world.hosts[7].state.loads.record_dispatch(E, 500)
     world.pass_time(1)
     lost = world.holder("zc")
     lost.is_down = True
@@ -356,7 +356,7 @@
 
 
 def test_data_centre_that_is_cut_off_counts_itself_alone(world: World) -> None:
-    world.hosts[4].state.loads.record_sent(E, 700)  # In the data centre that is cut off.
+    world.hosts[4].state.loads.record_dispatch(E, 700)  # In the data centre that is cut off.
     world.pass_time(1)
     world.cut.add("ze")
     world.pass_time(4)
@@ -385,7 +385,7 @@
     world.by_address[reborn.me.address] = reborn
     reborn.fleet.start = world.starter(reborn)
     world.pass_time(2)
-    assert A in reborn.state.residency.told[E].adapters
+    assert A in reborn.state.residency.reported[E].adapters
     assert len(reborn.fleet.contacts()) == 50
     assert reborn.fleet.live_hosts == 50
 
@@ -482,16 +482,16 @@
 
 def test_hub_hears_parts_and_others_hear_sums(world: World) -> None:
     keeper = world.holder("zb")
-    assert Scope.FLEET is keeper.tell(world.live("zb")[0].me.host_id).scope
+    assert DigestScope.FLEET is keeper.tell(world.live("zb")[0].me.host_id).scope
     other = world.holder("zd")
-    assert Scope.DATA_CENTRE is keeper.tell(other.me.host_id).scope
+    assert DigestScope.DATA_CENTRE is keeper.tell(other.me.host_id).scope
     plain = world.live("zb")[0]
-    assert Scope.HOST is plain.tell(keeper.me.host_id).scope
-    assert Scope.NOBODY is plain.tell(world.live("zb")[1].me.host_id).scope
+    assert DigestScope.HOST is plain.tell(keeper.me.host_id).scope
+    assert DigestScope.NOBODY is plain.tell(world.live("zb")[1].me.host_id).scope
     assert not plain.tell(world.live("zb")[1].me.host_id).shares
     assert keeper.tell(plain.me.host_id).uses == ()
     uses = (AdapterUse(E, A, 1),)
-    plain.state.uses.change(E, A, 1)
+    plain.state.uses.adjust_own_count(E, A, 1)
     assert plain.tell(keeper.me.host_id).uses == uses
 
 
@@ -553,7 +553,7 @@
     """The fleet with an organisation whose quota has been whole for long."""
     for host in world.hosts:
         now = world.clock.monotonic()
-        host.state.quotas.book.take_organisations((NORTH,), now)
+        host.state.quotas.book.apply_organisations((NORTH,), now)
     world.pass_time(4.0)
     return world
 
@@ -572,7 +572,7 @@
         own = usage.own.get(NORTH.name, Usage()).admitted
         hub = host.fleet.hub()
         assert hub != host.me
-        told = usage.sources[hub.host_id].told[NORTH.name].admitted
+        told = usage.sources[hub.host_id].reported_counts[NORTH.name].admitted
         assert told + own >= 8_000
 
 
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -25,9 +25,9 @@
 from sardinequay_core.serving import (
     CallerLimits,
     EnginePool,
-    Pool,
+    TargetPool,
     ServedModel,
-    make_config,
+    make_serving_config,
 )
 from sardinequay_daemon.order_task import OrderTask
 from sardinequay_daemon.ordered_engine import OrderedEngine
@@ -91,8 +91,8 @@
 
 def catalogue(incarnation: int) -> Catalogue:
     engines = EnginePool(64, 1000, 0.0, 2, 1.0, (ServedModel("m", 1.0, 9, 1.0),))
-    pool = Pool(PoolName("p"), 0, engines)
-    config = make_config(1, (), (pool,), CallerLimits())
+    pool = TargetPool(PoolName("p"), 0, engines)
+    config = make_serving_config(1, (), (pool,), CallerLimits())
     return Catalogue(incarnation, config, targets={E: published(incarnation)})
 
 
--- a/packages/daemon/tests/test_progress.py
+++ b/packages/daemon/tests/test_progress.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from sardinequay_core.outcome import Outcome, Reason, not_run
+from sardinequay_core.outcome import Outcome, Reason, not_run_refusal
 from sardinequay_daemon.progress import Progress, truthful
 
-REFUSAL = not_run(Reason.LOAD_QUEUE_FULL, "full", timedelta(seconds=1))
+REFUSAL = not_run_refusal(Reason.LOAD_QUEUE_FULL, "full", timedelta(seconds=1))
 
 
 def test_request_that_was_never_sent_has_not_run() -> None:
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -16,7 +16,7 @@
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import Address, DataCentre, PoolName, TargetId
 from sardinequay_core.roster import Target, TargetKind
-from sardinequay_core.serving import CallerLimits, make_config
+from sardinequay_core.serving import CallerLimits, make_serving_config
 from sardinequay_daemon.errors import PlatformError
 from sardinequay_daemon.serving_messages import FetchItems, ItemsReply
 from sardinequay_daemon.serving_ports import StoreItem, StoreRead
@@ -65,7 +65,7 @@
             return published(found.value.decode(), found.revision)
         if found.value == b"spoiled":
             raise PlatformError("config", "spoiled")
-        made = make_config(int(found.value), (), (), CallerLimits())
+        made = make_serving_config(int(found.value), (), (), CallerLimits())
         return ConfigPublished(made)
 
 
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -34,12 +34,12 @@
 from sardinequay_core.serving import (
     CallerLimits,
     EnginePool,
-    Pool,
+    TargetPool,
     Repetition,
     Route,
     ServedModel,
-    Share,
-    make_config,
+    PoolShare,
+    make_serving_config,
 )
 from sardinequay_daemon.attempt import RelayParts
 from sardinequay_daemon.exchange import Exchange
@@ -63,7 +63,7 @@
     goal=seconds(0.8),
     priority=1,
     max_runs=1,
-    shares=(Share(POOL, 1.0),),
+    shares=(PoolShare(POOL, 1.0),),
     max_pause=seconds(0.4),
 )
 
@@ -78,7 +78,7 @@
 
 def catalogue_of(*engines: TargetPublished) -> Catalogue:
     pool = EnginePool(8, 10_000, 100, 2, 2, (ServedModel("m", 10, 9, 1),))
-    config = make_config(1, (ROUTE,), (Pool(POOL, 9, pool),), CallerLimits())
+    config = make_serving_config(1, (ROUTE,), (TargetPool(POOL, 9, pool),), CallerLimits())
     made = fold(ConfigPublished(config), Catalogue(), Absence())
     for published in engines:
         made = fold(published, made, Absence())
--- a/packages/lab/src/sardinequay_lab/quota_policies.py
+++ b/packages/lab/src/sardinequay_lab/quota_policies.py
@@ -6,11 +6,11 @@
 
 from sardinequay_core.clock import ZERO, Instant, seconds
 from sardinequay_core.fleet_share import ASSUMED_HOSTS, FleetShare
-from sardinequay_core.fleet_topology import Scope
+from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.names import HostId
 from sardinequay_core.organisations import OrganisationName
-from sardinequay_core.quota_ledger import Admitted, QuotaBook, QuotaPolicy
-from sardinequay_core.usage_view import Counts, Told
+from sardinequay_core.quota_ledger import Admitted, QuotaLedger, QuotaPolicy
+from sardinequay_core.usage_view import UsageCounts, ReportedUsage
 
 from .quota_world import ORGANISATION, REACH_LOST_S, Scenario
 
@@ -44,11 +44,11 @@
         """Let all hosts forget everything."""
         self.started = now
         hosts = range(self.scenario.hosts)
-        self.books = [QuotaBook(self.random.random, self.policy) for _ in hosts]
+        self.books = [QuotaLedger(self.random.random, self.policy) for _ in hosts]
         self.shares = [FleetShare() for _ in hosts]
         self.acquainted: set[tuple[int, int]] = set()
         for book in self.books:
-            book.take_organisations((self.organisation,), now)
+            book.apply_organisations((self.organisation,), now)
 
     def admits(self, host: int, tokens: int, now: Instant) -> bool:
         """Return whether a host admits a request."""
@@ -64,8 +64,8 @@
         if up_s < KNOWS_AFTER_S:
             live = 1
             assumed = ASSUMED_HOSTS if up_s < JOINS_AFTER_S else self.scenario.hosts
-        self.shares[host].count(live, now)
-        self.books[host].take_share(self.shares[host].part(live, assumed), now)
+        self.shares[host].record_live_hosts(live, now)
+        self.books[host].apply_share(self.shares[host].reachable_share(live, assumed), now)
 
     def exchange(self, host: int, now: Instant) -> None:
         """Let a host exchange with its hub, or a hub with the other hubs."""
@@ -75,15 +75,15 @@
         hub = self.scenario.data_centre(host)
         if host != hub:
             usage = self.books[host].usage.own_counts(now, self.at_first(host, hub))
-            self.tell(host, hub, Scope.HOST, usage, now)
+            self.tell(host, hub, DigestScope.HOST, usage, now)
             also = self.at_first(hub, host)
-            usage = self.books[hub].usage.all_but(HostId(str(host)), now, also)
-            self.tell(hub, host, Scope.FLEET, usage, now)
+            usage = self.books[hub].usage.counts_excluding(HostId(str(host)), now, also)
+            self.tell(hub, host, DigestScope.FLEET, usage, now)
             return
         for other in range(hub):
             if self.is_lost(hub, other, now):
-                self.books[hub].forget(HostId(str(other)), now)
-                self.books[other].forget(HostId(str(hub)), now)
+                self.books[hub].forget_peer(HostId(str(other)), now)
+                self.books[other].forget_peer(HostId(str(hub)), now)
             elif not self.scenario.is_cut(hub, other, now.total_seconds()):
                 self.tell_hub(hub, other, now)
                 self.tell_hub(other, hub, now)
@@ -96,8 +96,8 @@
 
     def tell_hub(self, hub: int, other: int, now: Instant) -> None:
         """Tell another hub the sum of a data centre."""
-        counts = self.books[hub].usage.here(now, self.at_first(hub, other))
-        self.tell(hub, other, Scope.DATA_CENTRE, counts, now)
+        counts = self.books[hub].usage.data_centre_counts(now, self.at_first(hub, other))
+        self.tell(hub, other, DigestScope.DATA_CENTRE, counts, now)
 
     def at_first(self, sender: int, to: int) -> tuple[OrganisationName, ...]:
         """Return whom to tell of in any case, as hosts do when they tell one first."""
@@ -107,17 +107,17 @@
         return (ORGANISATION,)
 
     def tell(
-        self, sender: int, to: int, scope: Scope, counts: Counts, now: Instant
+        self, sender: int, to: int, scope: DigestScope, counts: UsageCounts, now: Instant
     ) -> None:
         """Tell one host."""
         self.messages += 1
         self.sent_bytes += len(msgspec.msgpack.encode(counts))
-        told = Told(scope, dict(counts), now - self.started)
+        told = ReportedUsage(scope, dict(counts), now - self.started)
         book, name = self.books[to], HostId(str(sender))
-        if scope is Scope.FLEET:
-            book.hear_all(name, told, now)
+        if scope is DigestScope.FLEET:
+            book.apply_fleet_report(name, told, now)
         else:
-            book.hear(name, told, now)
+            book.apply_report(name, told, now)
 
 
 class Bucket:
--- a/packages/lab/src/sardinequay_lab/quota_world.py
+++ b/packages/lab/src/sardinequay_lab/quota_world.py
@@ -173,7 +173,7 @@
         self.scenario = scenario
         window_s = policy.window.total_seconds()
         most = scenario.rate_per_s * window_s + scenario.burst
-        self.bound = most * (1 + policy.over) + policy.slack
+        self.bound = most * (1 + policy.rate_excess) + policy.slack
         self.window_s = window_s
         self.recent: deque[tuple[float, int]] = deque()
         self.in_window = 0
--- a/packages/lab/src/sardinequay_lab/repeat_policies.py
+++ b/packages/lab/src/sardinequay_lab/repeat_policies.py
@@ -6,8 +6,8 @@
 from sardinequay_core.clock import ZERO, Instant, seconds
 from sardinequay_core.fleet_share import FleetShare
 from sardinequay_core.repeat_budget import (
-    SLACK_AFTER,
-    SLACK_SHARE,
+    SLACK_DELAY,
+    USED_SLACK_SHARE,
     RepeatBudget,
     RepeatPolicy,
 )
@@ -42,7 +42,7 @@
 
     def request(self, host: int, now: Instant) -> None:
         """Count a request."""
-        self.budgets[host].request(now)
+        self.budgets[host].record_request(now)
 
     def hosts(self, host: int, heard: frozenset[int], now: Instant) -> int:
         """Return how many hosts share the slack."""
@@ -51,10 +51,10 @@
     def repeat(self, host: int, heard: frozenset[int], now: Instant) -> bool:
         """Take a repeat if it is within the host's share."""
         budget = self.budgets[host]
-        if not budget.use(self.hosts(host, heard, now), now).has_room:
+        if not budget.current_usage(self.hosts(host, heard, now), now).has_room:
             return False
-        budget.begin()
-        budget.end(now)
+        budget.record_permitted()
+        budget.record_arrival(now)
         return True
 
 
@@ -67,14 +67,14 @@
 
     def start(self, host: int, now: Instant, is_first: bool) -> None:
         """Begin without slack, unless nothing was sent before."""
-        slack_from = ZERO if is_first else now + SLACK_AFTER
+        slack_from = ZERO if is_first else now + SLACK_DELAY
         self.budgets[host] = RepeatBudget(self.bound, slack_from)
         self.shares[host] = FleetShare()
 
     def hosts(self, host: int, heard: frozenset[int], now: Instant) -> int:
         """Return how many hosts share the slack."""
-        self.shares[host].count(len(heard), now)
-        return self.shares[host].hosts(len(heard), 1)
+        self.shares[host].record_live_hosts(len(heard), now)
+        return self.shares[host].recent_hosts(len(heard), 1)
 
 
 class RatioAlone(SharesOfLately):
@@ -127,8 +127,8 @@
     def repeat(self, host: int, heard: frozenset[int], now: Instant) -> bool:
         """Take a repeat if those known leave room for one of each host."""
         share = self.shares[host]
-        share.count(len(heard), now)
-        slack = self.bound.slack * SLACK_SHARE * share.part(len(heard), 1)
+        share.record_live_hosts(len(heard), now)
+        slack = self.bound.slack * USED_SLACK_SHARE * share.reachable_share(len(heard), 1)
         if now - self.born[host] < self.bound.window and self.born[host] > ZERO:
             slack = 0
         requests = self.known(self.requests, host, heard, now)
