--- a/packages/core/src/sardinequay_core/residency.py
+++ b/packages/core/src/sardinequay_core/residency.py
@@ -75,23 +75,23 @@
         )
 
     def resident_adapter(
-        self, published: PublishedTarget, wanted: AdapterRef
+        self, published: PublishedTarget, requested: AdapterRef
     ) -> AdapterRef | None:
         """Return the adapter as an engine holds it, not older than wanted."""
         held = self.holdings_of(published)
         for adapter in held.adapters:
-            if adapter.is_at_least(wanted):
+            if adapter.is_at_least(requested):
                 denied = self.missing.get((published.target.target_id, adapter))
                 if denied is None or denied < held.version_key:
                     return adapter
         return None
 
     def expected_at(
-        self, published: PublishedTarget, wanted: AdapterRef
+        self, published: PublishedTarget, requested: AdapterRef
     ) -> Instant | None:
         """Return when an adapter is expected on an engine, if it is coming."""
         for adapter, at in self.holdings_of(published).coming.items():
-            if adapter.is_at_least(wanted):
+            if adapter.is_at_least(requested):
                 return at
         return None
 
@@ -108,13 +108,13 @@
         key = (published.target.target_id, adapter)
         self.missing[key] = held.version_key
 
-    def prune_unlisted(self, known: frozenset[TargetId]) -> None:
+    def prune_unlisted(self, listed: frozenset[TargetId]) -> None:
         """Drop engines that are no longer listed."""
         for target in tuple(self.reported):
-            if target not in known:
+            if target not in listed:
                 del self.reported[target]
         for key in tuple(self.missing):
-            if key[0] not in known:
+            if key[0] not in listed:
                 del self.missing[key]
 
 
--- a/packages/core/src/sardinequay_core/retry_decision.py
+++ b/packages/core/src/sardinequay_core/retry_decision.py
@@ -70,16 +70,16 @@
 def decide_retry(
     repetition: Repetition,
     max_runs: int,
-    so_far: AttemptCounts,
-    left: timedelta,
+    counts: AttemptCounts,
+    remaining: timedelta,
     within_budget: bool,
 ) -> RetryDecision:
     """Return what follows, with the failed attempt already in `so_far`."""
-    give_up = RetryDecision.GIVE_UP_MAY_HAVE_RUN if so_far.runs else RetryDecision.GIVE_UP_NOT_RUN
-    if so_far.runs and not repetition.may_run_again:
+    give_up = RetryDecision.GIVE_UP_MAY_HAVE_RUN if counts.runs else RetryDecision.GIVE_UP_NOT_RUN
+    if counts.runs and not repetition.may_run_again:
         return give_up
-    if so_far.runs >= max_runs or so_far.rejections >= MAX_REJECTIONS:
+    if counts.runs >= max_runs or counts.rejections >= MAX_REJECTIONS:
         return give_up
-    if left <= ZERO or not within_budget:
+    if remaining <= ZERO or not within_budget:
         return give_up
     return RetryDecision.RETRY
--- a/packages/core/src/sardinequay_core/target_choice.py
+++ b/packages/core/src/sardinequay_core/target_choice.py
@@ -157,11 +157,11 @@
     is_below_desired: bool = False
 
 
-def count_copies(options: Sequence[EngineOption], due: int) -> AdapterCopies:
+def count_copies(options: Sequence[EngineOption], desired: int) -> AdapterCopies:
     """Return where a request's adapter is, over all engines."""
     held = [o.adapter_state for o in options]
     there = held.count(AdapterState.RESIDENT) + held.count(AdapterState.COMING)
-    return AdapterCopies(there > 0, AdapterState.RECENT in held, 0 < there < due)
+    return AdapterCopies(there > 0, AdapterState.RECENT in held, 0 < there < desired)
 
 
 def expected_load_s(option: EngineOption) -> float:
@@ -210,7 +210,7 @@
 
 
 def select_engine(
-    options: Sequence[EngineOption], left_s: float, copies_due: int = 1
+    options: Sequence[EngineOption], remaining_s: float, desired_copies: int = 1
 ) -> EngineChoice:
     """Return where a request goes.
 
@@ -221,15 +221,15 @@
     copies_due : int
         On how many engines its adapter should be by its share of all requests.
     """
-    open_to = [o for o in options if o.adapter_state is AdapterState.RESIDENT or o.may_load]
-    if not open_to:
+    eligible = [o for o in options if o.adapter_state is AdapterState.RESIDENT or o.may_load]
+    if not eligible:
         return NoEngine()
-    patience_s = left_s * MAX_WAIT_SHARE
-    in_time = [o for o in open_to if expected_first_event_s(o) <= patience_s]
+    max_wait_s = remaining_s * MAX_WAIT_SHARE
+    in_time = [o for o in eligible if expected_first_event_s(o) <= max_wait_s]
     if not in_time:
-        soonest_s = min(expected_first_event_s(o) for o in open_to)
-        return EnginesTooBusy(max(soonest_s - patience_s, soonest_s * RETRY_AFTER_SHARE))
-    copies = count_copies(options, copies_due)
+        soonest_s = min(expected_first_event_s(o) for o in eligible)
+        return EnginesTooBusy(max(soonest_s - max_wait_s, soonest_s * RETRY_AFTER_SHARE))
+    copies = count_copies(options, desired_copies)
     best = min(in_time, key=lambda o: (total_cost_s(o, copies), o.target))
     if best.adapter_state is AdapterState.RESIDENT:
         return SendToEngine(best.target, expected_first_event_s(best))
--- a/packages/core/src/sardinequay_core/target_health.py
+++ b/packages/core/src/sardinequay_core/target_health.py
@@ -168,7 +168,7 @@
             record.has_trial_running = False
 
     def record_result(
-        self, target: TargetId, verdict: AttemptResult, sent_at: Instant, now: Instant
+        self, target: TargetId, result: AttemptResult, sent_at: Instant, now: Instant
     ) -> bool:
         """Take what became of an attempt; return whether the target is now left out.
 
@@ -177,22 +177,22 @@
         """
         record = self.get_record(target)
         record.has_trial_running = False
-        record.is_unreachable = verdict is AttemptResult.UNREACHABLE
-        if verdict is AttemptResult.REJECTED:
+        record.is_unreachable = result is AttemptResult.UNREACHABLE
+        if result is AttemptResult.REJECTED:
             record.full_until = now + self.policy.full_duration
             record.answered_at = now
             return False
-        if verdict is AttemptResult.SUCCEEDED:
+        if result is AttemptResult.SUCCEEDED:
             self.tally.record_outcome(target, now, good=1.0)
             self.record_success(record, now)
             return False
-        if verdict is AttemptResult.TIMED_OUT and record.answered_at > sent_at:
+        if result is AttemptResult.TIMED_OUT and record.answered_at > sent_at:
             return False
-        if verdict is AttemptResult.FAILED:
+        if result is AttemptResult.FAILED:
             self.tally.record_outcome(target, now, failed=1.0)
-        elif verdict is AttemptResult.TIMED_OUT:
+        elif result is AttemptResult.TIMED_OUT:
             self.tally.record_outcome(target, now, failed=TIMEOUT_WEIGHT)
-        return self.record_failure(record, verdict, now)
+        return self.record_failure(record, result, now)
 
     def record_success(self, record: TargetHealthRecord, now: Instant) -> None:
         """Take a good answer."""
@@ -202,12 +202,12 @@
         if record.failure_rate < self.policy.max_failure_rate / 2:
             record.pauses = 0
 
-    def record_failure(self, record: TargetHealthRecord, verdict: AttemptResult, now: Instant) -> bool:
+    def record_failure(self, record: TargetHealthRecord, result: AttemptResult, now: Instant) -> bool:
         """Take a failure; return whether the target is now left out."""
         memory = self.policy.failure_decay
-        weight = TIMEOUT_WEIGHT if verdict is AttemptResult.TIMED_OUT else 1.0
+        weight = TIMEOUT_WEIGHT if result is AttemptResult.TIMED_OUT else 1.0
         record.failure_rate = record.failure_rate * memory + (1 - memory) * weight
-        is_certain = verdict in (AttemptResult.UNREACHABLE, AttemptResult.CONNECTION_LOST)
+        is_certain = result in (AttemptResult.UNREACHABLE, AttemptResult.CONNECTION_LOST)
         if not (
             is_certain
             or record.is_on_trial
@@ -231,8 +231,8 @@
         self.records.pop(target, None)
         self.tally.forget_target(target)
 
-    def prune_unlisted(self, known: frozenset[TargetId]) -> None:
+    def prune_unlisted(self, listed: frozenset[TargetId]) -> None:
         """Drop the records of targets that are no longer listed."""
         for target in tuple(self.records):
-            if target not in known:
+            if target not in listed:
                 self.forget_target(target)
--- a/packages/core/tests/test_relay_decisions.py
+++ b/packages/core/tests/test_relay_decisions.py
@@ -100,7 +100,7 @@
 
 
 def service(name: str, in_flight: int = 0, **more) -> ServiceOption:
-    fields = {"is_local": True, "is_full": False, "was_tried": False, "spread": 0.0}
+    fields = {"is_local": True, "is_full": False, "was_tried": False, "tie_breaker": 0.0}
     return ServiceOption(TargetId(name), in_flight, 6, **fields | more)
 
 
--- a/packages/lab/src/sardinequay_lab/quota_policies.py
+++ b/packages/lab/src/sardinequay_lab/quota_policies.py
@@ -28,7 +28,7 @@
 
 
 class SharedUsage:
-    """Hosts admit by what all use together, as `quota_book` decides."""
+    """Hosts admit by what all use together, as `quota_ledger` decides."""
 
     def __init__(self, scenario: Scenario, policy: QuotaPolicy, seed: int) -> None:
         self.scenario = scenario
