--- a/packages/lab/src/sardinequay_lab/quota_world.py
+++ b/packages/lab/src/sardinequay_lab/quota_world.py
@@ -19,7 +19,7 @@
     Quota,
     QuotaUnit,
 )
-from sardinequay_core.quota_book import QuotaPolicy
+from sardinequay_core.quota_ledger import QuotaPolicy
 from sardinequay_daemon.hub_table import HUB_PERIOD_PER_HOST_S, HUB_PERIOD_S
 from sardinequay_daemon.peer_table import OTHER_HUB_ALIVE_FOR
 
@@ -173,7 +173,7 @@
         self.scenario = scenario
         window_s = policy.window.total_seconds()
         most = scenario.rate_per_s * window_s + scenario.burst
-        self.bound = most * (1 + policy.over) + policy.slack
+        self.bound = most * (1 + policy.rate_excess) + policy.slack
         self.window_s = window_s
         self.recent: deque[tuple[float, int]] = deque()
         self.in_window = 0
