--- a/packages/daemon/src/sardinequay_daemon/answers.py
+++ b/packages/daemon/src/sardinequay_daemon/answers.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.outcome import Refusal
 
-from .server_sent_events import DONE, EVENT_END, data_of
+from .server_sent_events import DONE, EVENT_END, event_data
 
 REQUEST_HEADER = "Sardinequay-Request"
 OUTCOME_HEADER = "Sardinequay-Outcome"
@@ -58,7 +58,7 @@
     return b"event: error\ndata: " + body + EVENT_END
 
 
-class WholeAnswer:
+class CompletionAssembler:
     """Puts the chunks of a stream together into the answer of one piece."""
 
     def __init__(self) -> None:
@@ -69,11 +69,11 @@
     def take(self, data: bytes) -> None:
         """Take whole events."""
         for event in data.split(EVENT_END):
-            payload = data_of(event)
+            payload = event_data(event)
             if payload and DONE not in event:
-                self.take_chunk(msgspec.json.decode(payload))
+                self.add_chunk(msgspec.json.decode(payload))
 
-    def take_chunk(self, chunk: dict[str, Any]) -> None:
+    def add_chunk(self, chunk: dict[str, Any]) -> None:
         """Take one chunk of a completion or of a chat."""
         self.template.update({k: v for k, v in chunk.items() if k != "choices"})
         for choice in chunk.get("choices", ()):
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -13,33 +13,33 @@
 from sardinequay_core.target_health import Verdict
 
 from .errors import TargetError, TargetFault
-from .exchange import AnswerHead, Exchange, Sink
+from .exchange import AnswerHead, Exchange, AnswerSink
 from .relay_state import RelayState
-from .server_sent_events import EventCutter
+from .server_sent_events import EventSplitter
 from .serving_metrics import ServingMetrics
-from .serving_ports import AnswerFacts, CallDialect, SendTerms
-from .target_errors import TurnedErrors
+from .serving_ports import AnswerFacts, HttpDialect, SendTerms
+from .target_errors import TargetErrorTranslator
 from .tracing import Tracing
-from .upstream import MAX_WHOLE_BYTES, Outgoing, Upstream
-from .wants import WantBoard
+from .upstream import MAX_WHOLE_BYTES, UpstreamRequest, Upstream
+from .load_requests import LoadRequestClient
 
-IDEMPOTENT_PATIENCE = 2.0
+HEAD_TIMEOUT_GOALS = 2.0
 """Goals that an idempotent request waits on one target before another is tried."""
 
-SHORTEST_PATIENCE_S = 0.15
-LEAST_URGENT = 9
+MIN_HEAD_TIMEOUT_S = 0.15
+LOWEST_URGENCY = 9
 SERVER_ERROR = 500
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class RelayParts:
+class RelayDependencies:
     """What relaying a request needs."""
 
     state: RelayState
-    dialect: CallDialect
+    dialect: HttpDialect
     upstream: Upstream
-    wants: WantBoard
+    wants: LoadRequestClient
     metrics: ServingMetrics
     tracing: Tracing
 
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        parts: RelayParts,
+        parts: RelayDependencies,
         exchange: Exchange,
         published: PublishedTarget,
         is_resend: bool = False,
@@ -73,7 +73,7 @@
         self.sent_at = self.clock.monotonic()
         self.expected_s = 0.0
         self.usual_s = 0.0
-        self.has_first = False
+        self.has_first_event = False
         self.was_served = False
         self.trace_headers: dict[str, str] = {}
 
@@ -95,27 +95,27 @@
             self.first_event()
         if self.adapter is not None:
             count = self.state.uses.change(self.target_id, self.adapter, 1)
-            self.parts.wants.tell_use(self.target_id, self.adapter, count)
+            self.parts.wants.report_use(self.target_id, self.adapter, count)
         self.state.health.sent(self.target_id)
 
     def leave(self) -> None:
         """Count the attempt out."""
-        self.state.loads.end(self.target_id, self.tokens, self.has_first)
+        self.state.loads.end(self.target_id, self.tokens, self.has_first_event)
         self.state.health.left(self.target_id)
-        if self.adapter is not None and self.is_same_start():
+        if self.adapter is not None and self.is_same_incarnation():
             count = self.state.uses.change(self.target_id, self.adapter, -1)
             if not count:
-                self.parts.wants.tell_use(self.target_id, self.adapter, count)
+                self.parts.wants.report_use(self.target_id, self.adapter, count)
 
-    def is_same_start(self) -> bool:
+    def is_same_incarnation(self) -> bool:
         """Return whether the target has not started again since it was chosen."""
         now = self.state.catalogue.targets.get(self.target_id)
         return now is None or now.incarnation == self.published.incarnation
 
     def first_event(self) -> None:
         """Count the prompt as read."""
-        if not self.has_first:
-            self.has_first = True
+        if not self.has_first_event:
+            self.has_first_event = True
             self.state.loads.first_event(self.target_id, self.tokens)
 
     def judge(self, verdict: Verdict) -> None:
@@ -134,7 +134,7 @@
                 },
             )
 
-    def outgoing(self) -> Outgoing:
+    def outgoing(self) -> UpstreamRequest:
         """Return the request as it goes to the target."""
         exchange = self.exchange
         version = ""
@@ -145,14 +145,14 @@
         terms = SendTerms(
             self.target,
             max(seconds(0.001), exchange.deadline - self.clock.monotonic()),
-            min(LEAST_URGENT, exchange.priority) if self.tokens else None,
+            min(LOWEST_URGENCY, exchange.priority) if self.tokens else None,
             version,
             exchange.last_event,
             exchange.organisation.name if exchange.organisation else "",
         )
         headers = self.parts.dialect.forwarded(exchange.headers, exchange.terms, terms)
         headers.update(self.trace_headers)
-        return Outgoing(
+        return UpstreamRequest(
             exchange.method,
             exchange.path,
             headers,
@@ -170,10 +170,10 @@
             return left_s
         goal_s = route.goal.total_seconds()
         if route.repetition.is_stream:
-            return min(left_s, max(IDEMPOTENT_PATIENCE * goal_s, self.expected_s * 2))
-        return min(left_s, max(SHORTEST_PATIENCE_S, IDEMPOTENT_PATIENCE * goal_s))
+            return min(left_s, max(HEAD_TIMEOUT_GOALS * goal_s, self.expected_s * 2))
+        return min(left_s, max(MIN_HEAD_TIMEOUT_S, HEAD_TIMEOUT_GOALS * goal_s))
 
-    async def run(self, sink: Sink) -> AttemptEnd | None:
+    async def run(self, sink: AnswerSink) -> AttemptEnd | None:
         """Send, and pass the answer on."""
         upstream = self.parts.upstream
         request = self.outgoing()
@@ -202,9 +202,9 @@
             end = AttemptEnd.MISDIRECTED
             if facts.instance and facts.instance != self.target_id:
                 self.judge(Verdict.GONE)
-            elif self.adapter is not None and self.is_same_start():
+            elif self.adapter is not None and self.is_same_incarnation():
                 self.state.residency.deny(self.published, self.adapter)
-                self.parts.wants.tell_missing(self.published, self.adapter)
+                self.parts.wants.report_missing(self.published, self.adapter)
         else:
             self.judge(Verdict.REJECTED)
         log.info(
@@ -254,7 +254,7 @@
         return (self.clock.monotonic() - self.sent_at).total_seconds()
 
     async def answered(
-        self, answer: aiohttp.ClientResponse, sink: Sink
+        self, answer: aiohttp.ClientResponse, sink: AnswerSink
     ) -> AttemptEnd | None:
         """Pass an answer on."""
         exchange = self.exchange
@@ -270,25 +270,25 @@
         if exchange.route.repetition.is_stream:
             await self.stream(answer, sink)
         else:
-            await self.pass_whole(answer, sink)
+            await self.forward_body(answer, sink)
         if not is_failure:
             self.was_served = True
             self.judge(Verdict.GOOD)
         return None
 
-    async def begin(self, answer: aiohttp.ClientResponse, sink: Sink) -> None:
+    async def begin(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Send the answer's head on, if none was."""
         if not self.exchange.has_begun:
             self.exchange.has_begun = True
             await sink.begin(AnswerHead(answer.status, answer))
 
-    async def pass_whole(self, answer: aiohttp.ClientResponse, sink: Sink) -> None:
+    async def forward_body(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Pass a plain answer on: in one piece if it is small, else as it comes.
 
         The caller gets nothing of an answer that breaks off while it is small, so that
         another target may still answer.
         """
-        body = Body(answer, self.exchange, self.clock)
+        body = AnswerBody(answer, self.exchange, self.clock)
         held: list[bytes] = []
         size = 0
         while data := await body.next():
@@ -301,32 +301,32 @@
         await self.begin(answer, sink)
         await sink.write(b"".join(held))
 
-    async def stream(self, answer: aiohttp.ClientResponse, sink: Sink) -> None:
+    async def stream(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Pass a stream on, event by event."""
         exchange = self.exchange
-        cutter = EventCutter()
-        body = Body(answer, exchange, self.clock)
+        cutter = EventSplitter()
+        body = AnswerBody(answer, exchange, self.clock)
         while data := await body.next():
             events = cutter.feed(data)
             if events is None:
                 continue
             if events.last_id:
                 exchange.last_event = str(events.last_id)
-            if not self.has_first:
+            if not self.has_first_event:
                 self.first_event()
-                self.learn_pace()
+                self.record_read_pace()
             await self.begin(answer, sink)
             await sink.write(events.data)
         await self.begin(answer, sink)
         await sink.write(cutter.rest)
 
-    def learn_pace(self) -> None:
+    def record_read_pace(self) -> None:
         """Learn how fast the engine reads from when its first event came."""
         now = self.clock.monotonic()
         self.state.loads.measured(self.target_id, self.usual_s, self.taken_s(), now)
 
 
-class Body:
+class AnswerBody:
     """The bytes of an answer as they come, within the request's time."""
 
     def __init__(
@@ -347,7 +347,7 @@
         left_s = self.exchange.left(self.clock.monotonic()).total_seconds()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                with TurnedErrors():
+                with TargetErrorTranslator():
                     return await self.answer.content.readany()
         except TimeoutError as error:
             detail = "the request's time is over"
--- a/packages/daemon/src/sardinequay_daemon/caller_gate.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_admission.py
@@ -13,25 +13,25 @@
 from sardinequay_core.quota_book import Admitted, OverQuota
 from sardinequay_core.serving import Route, ServingConfig
 
-from .progress import Refused
+from .progress import RequestRefusedError
 from .relay_state import RelayState
 from .serving_metrics import ServingMetrics
 from .serving_ports import RequestTerms
 
-STALE_S = 3.0
+STALE_STORE_AGE_S = 3.0
 """A host that has heard nothing of the store for so long, by itself or from peers, may
 miss a key that was added: longer than a watch lasts, shorter than a change may take."""
 
 STALE_RETRY = seconds(0.2)
 """Another host that a caller comes to may know more."""
 
-SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Callers that are over a quota come back spread over this part of their wait."""
 
-SOONEST = seconds(0.1)
+MIN_RETRY_AFTER = seconds(0.1)
 
 
-class CallerGate:
+class CallerAdmission:
     """Knows the organisations in force and their quotas.
 
     Parameters
@@ -66,13 +66,13 @@
             return None
         found = config.by_key.get(terms.key) if terms.key is not None else None
         if found is None and not route.is_public:
-            raise Refused(self.unknown_key(config, terms))
+            raise RequestRefusedError(self.unknown_key_refusal(config, terms))
         return found
 
-    def unknown_key(self, config: ServingConfig, terms: RequestTerms) -> Refusal:
+    def unknown_key_refusal(self, config: ServingConfig, terms: RequestTerms) -> Refusal:
         """Return the refusal of a request without a key in force."""
         age_s = self.store_age_s()
-        if terms.key is not None and age_s > STALE_S:
+        if terms.key is not None and age_s > STALE_STORE_AGE_S:
             text = (
                 f"the key is not in version {config.version}, known {age_s:.1f} s ago"
             )
@@ -97,7 +97,7 @@
         self.metrics.over_quota.inc(
             {"organisation": self.metrics.organisation_label(organisation.name)}
         )
-        raise Refused(self.over_quota(result))
+        raise RequestRefusedError(self.over_quota(result))
 
     def over_quota(self, over: OverQuota) -> Refusal:
         """Return the refusal of a request beyond its organisation's quota."""
@@ -112,7 +112,7 @@
 
     def spread(self, wait: timedelta) -> timedelta:
         """Return when to come back, so that callers do not come together."""
-        return max(SOONEST, wait * (1 + SPREAD * self.state.random.random()))
+        return max(MIN_RETRY_AFTER, wait * (1 + RETRY_JITTER * self.state.random.random()))
 
     def give_back(self, admitted: Admitted) -> None:
         """Take back what was counted for a request that did not run."""
--- a/packages/daemon/src/sardinequay_daemon/caller_answer.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_answer.py
@@ -9,19 +9,19 @@
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.outcome import Outcome, Reason, Refusal
 
-from .exchange import AnswerHead, Sink
+from .exchange import AnswerHead, AnswerSink
 from .relay_state import RelayState
 from .serving_metrics import ServingMetrics
-from .serving_ports import CallDialect
+from .serving_ports import HttpDialect
 
 log = logging.getLogger(__name__)
 
 
-class AnsweringServer(Protocol):
+class AnswerContext(Protocol):
     """What an answer needs of its listener."""
 
     clock: Clock
-    dialect: CallDialect
+    dialect: HttpDialect
     metrics: ServingMetrics
     state: RelayState
     is_closing: bool
@@ -31,7 +31,7 @@
     """The answer to one request, as far as it has got."""
 
     def __init__(
-        self, server: AnsweringServer, http: web.BaseRequest, arrived: Instant
+        self, server: AnswerContext, http: web.BaseRequest, arrived: Instant
     ) -> None:
         self.server = server
         self.http = http
@@ -42,9 +42,9 @@
         self.response: web.StreamResponse | None = None
         self.first_s = 0.0
 
-    def sink(self) -> Sink:
+    def sink(self) -> AnswerSink:
         """Return where the relay puts an answer."""
-        return Sink(self.begin, self.write)
+        return AnswerSink(self.begin, self.write)
 
     def taken_s(self) -> float:
         """Return the time since the request came, in seconds."""
--- a/packages/daemon/src/sardinequay_daemon/caller_connection.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_connection.py
@@ -8,7 +8,7 @@
 from sardinequay_core.clock import Clock, Instant, seconds
 from sardinequay_core.serving import CallerLimits
 
-CLOSING_IDLE = seconds(0.2)
+IDLE_BEFORE_CLOSE = seconds(0.2)
 """A stopping host closes connections that have been idle for this, so that requests of
 new connections are still read: several round trips to any caller."""
 
@@ -20,18 +20,18 @@
         super().__init__(server, loop=asyncio.get_running_loop(), **options)
         self.clock = clock
         self.idle_since: Instant | None = clock.monotonic()
-        self.partial_since: Instant | None = None
+        self.head_began_at: Instant | None = None
 
     def data_received(self, data: bytes) -> None:
         """Note when the head of a request began to come."""
-        if self.idle_since is not None and self.partial_since is None:
-            self.partial_since = self.clock.monotonic()
+        if self.idle_since is not None and self.head_began_at is None:
+            self.head_began_at = self.clock.monotonic()
         super().data_received(data)
 
     def begin_request(self) -> None:
         """Note that a request's head is complete."""
         self.idle_since = None
-        self.partial_since = None
+        self.head_began_at = None
 
     def end_request(self) -> None:
         """Note that the answer is complete."""
@@ -42,14 +42,14 @@
         since = self.idle_since
         return (
             since is not None
-            and self.partial_since is None
-            and now - since > CLOSING_IDLE
+            and self.head_began_at is None
+            and now - since > IDLE_BEFORE_CLOSE
         )
 
-    def keeps_waiting(self, limits: CallerLimits, now: Instant) -> bool:
+    def is_overdue(self, limits: CallerLimits, now: Instant) -> bool:
         """Return whether the caller takes longer than it may."""
-        if self.partial_since is not None:
-            return now - self.partial_since > limits.header_timeout
+        if self.head_began_at is not None:
+            return now - self.head_began_at > limits.header_timeout
         if self.idle_since is not None:
             return now - self.idle_since > limits.idle_timeout
         return False
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -158,14 +158,14 @@
     stream = fields.get("stream", False)
     if not isinstance(stream, bool):
         return Failure(not_run(Reason.MALFORMED, "stream is neither true nor false"))
-    return find_offer(envelope, ref.unwrap()).bind(
+    return find_offered_pool(envelope, ref.unwrap()).bind(
         lambda pool: Success(
             ModelRequest(envelope, path, body, ref.unwrap(), pool, stream)
         )
     )
 
 
-def find_offer(envelope: Envelope, ref: AdapterRef) -> Result[Pool, Refusal]:
+def find_offered_pool(envelope: Envelope, ref: AdapterRef) -> Result[Pool, Refusal]:
     """Return the pool of an adapter version, if it is offered to the caller."""
     bundle = envelope.bundle
     adapter = bundle.named(ref.name)
--- a/packages/daemon/src/sardinequay_daemon/callers.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_server.py
@@ -23,7 +23,7 @@
     BUNDLE_HEADER,
     OUTCOME_HEADER,
     REQUEST_HEADER,
-    WholeAnswer,
+    CompletionAssembler,
     refusal_event,
     refusal_response,
 )
@@ -37,8 +37,8 @@
 from .dispatch import ModelDispatcher
 from .journal import Journal
 from .metrics import Metrics
-from .progress import Progress, Refused, too_late, truthful
-from .services import ServiceForwarder, ServiceRequest, pass_through
+from .progress import Progress, RequestRefusedError, deadline_refusal, with_proven_outcome
+from .services import ServiceForwarder, ServiceRequest, end_to_end_headers
 from .settings import LimitSettings
 from .tracing import Tracing, trace_id
 
@@ -115,8 +115,8 @@
             response = await self.answer(exchange)
             self.metrics.requests.inc({"outcome": "answered"})
             return response
-        except Refused as error:
-            refusal = truthful(error.refusal, exchange.progress)
+        except RequestRefusedError as error:
+            refusal = with_proven_outcome(error.refusal, exchange.progress)
             return await self.refuse(exchange, refusal)
         except (CallerGoneError, asyncio.CancelledError) as error:
             self.metrics.requests.inc({"outcome": "caller_gone"})
@@ -140,7 +140,7 @@
         """Check, admit and run one request within its deadline."""
         http = exchange.http
         if self.is_stopping:
-            raise Refused(shutting_down())
+            raise RequestRefusedError(shutting_down())
         read = read_envelope(
             http.headers,
             exchange.request_id,
@@ -149,26 +149,26 @@
             self.clock.monotonic(),
         )
         if not isinstance(read, Success):
-            raise Refused(read.failure())
+            raise RequestRefusedError(read.failure())
         envelope = read.unwrap()
         if not self.admission.enter(envelope.priority):
             text = "this host is full; requests of higher priority go first"
-            raise Refused(not_run(Reason.OVERLOADED, text, OVERLOAD_RETRY))
-        self.note_idle()
+            raise RequestRefusedError(not_run(Reason.OVERLOADED, text, OVERLOAD_RETRY))
+        self.update_idle_event()
         try:
-            return await self.within_deadline(exchange, envelope)
+            return await self.run_within_deadline(exchange, envelope)
         finally:
             self.admission.leave()
-            self.note_idle()
+            self.update_idle_event()
 
-    def note_idle(self) -> None:
+    def update_idle_event(self) -> None:
         """Let a shutdown know when nothing is in flight."""
         if self.admission.in_flight:
             self.idle.clear()
         else:
             self.idle.set()
 
-    async def within_deadline(
+    async def run_within_deadline(
         self, exchange: Exchange, envelope: Envelope
     ) -> web.StreamResponse:
         """Run one request, and end it when its time is over."""
@@ -177,7 +177,7 @@
             async with asyncio.timeout(remaining.total_seconds()):
                 return await self.route(exchange, envelope)
         except TimeoutError as error:
-            raise Refused(too_late(exchange.progress)) from error
+            raise RequestRefusedError(deadline_refusal(exchange.progress)) from error
 
     async def route(self, exchange: Exchange, envelope: Envelope) -> web.StreamResponse:
         """Run one request by what its path means."""
@@ -188,12 +188,12 @@
         if http.path in MODEL_PATHS and http.method == "POST":
             read = read_model_request(envelope, http.path, body)
             if not isinstance(read, Success):
-                raise Refused(read.failure())
+                raise RequestRefusedError(read.failure())
             return await self.run_model(exchange, read.unwrap())
         service = envelope.bundle.service(http.path)
         if service is None or envelope.caller.name not in service.callers:
             text = f"nothing is offered to you at {http.path!r}"
-            raise Refused(not_run(Reason.UNKNOWN_ROUTE, text))
+            raise RequestRefusedError(not_run(Reason.UNKNOWN_ROUTE, text))
         request = ServiceRequest(
             envelope, service, http.method, http.raw_path, http.headers, body
         )
@@ -212,7 +212,7 @@
             raise CallerGoneError from error
         if size > limit:
             text = f"the body exceeds {limit} bytes"
-            raise Refused(not_run(Reason.TOO_LARGE, text))
+            raise RequestRefusedError(not_run(Reason.TOO_LARGE, text))
         return b"".join(parts)
 
     def models(self, envelope: Envelope) -> web.Response:
@@ -244,7 +244,7 @@
                 async for part in parts:
                     await self.write(exchange, 200, headers, part.data)
                 return await self.end(exchange)
-            whole = WholeAnswer()
+            whole = CompletionAssembler()
             async for part in parts:
                 whole.take(part.data)
         return web.Response(
@@ -257,7 +257,7 @@
         """Run a request for a plain service and pass its answer through."""
         forward = self.forwarder.forward(request, exchange.progress, exchange.span)
         async with forward as answer:
-            headers = pass_through(answer.headers)
+            headers = end_to_end_headers(answer.headers)
             headers.update(self.answer_headers(request.envelope))
             length = answer.content_length
             is_small = length is not None and length <= MAX_WHOLE_BYTES
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -22,7 +22,7 @@
 from .journal import Journal
 from .metrics import Metrics
 from .peers import PeerCaller
-from .progress import Progress, Refused
+from .progress import Progress, RequestRefusedError
 from .tracing import Tracing
 
 ROUND_PAUSE_S = 0.05
@@ -74,7 +74,7 @@
     async def guarded(
         self, envelope: Envelope, progress: Progress, parent: Span
     ) -> AsyncIterator[None]:
-        """Hold a request's key while it runs; raises `Refused` if it is not won."""
+        """Hold a request's key while it runs; raises `RequestRefusedError` if it is not won."""
         won = await self.claim_for(envelope, parent)
         ran = False
         try:
@@ -93,7 +93,7 @@
                 envelope.key, envelope.caller.name, envelope.deadline
             )
         if not isinstance(won, Success):
-            raise Refused(won.failure())
+            raise RequestRefusedError(won.failure())
         self.journal.note(envelope.request_id, "claimed", key=envelope.key)
         claim: WonClaim = won.unwrap()
         return claim
--- a/packages/daemon/src/sardinequay_daemon/connection_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/connection_probe.py
@@ -9,7 +9,7 @@
 """Bound on opening a connection: many times a round trip, below a lost packet's second
 of waiting. A target that does not answer to this is cut off or gone."""
 
-STAYS_OPEN_S = 0.05
+MIN_OPEN_S = 0.05
 """A new connection that lasts so long was taken by the target itself: a gateway before
 one that has ended closes it at once."""
 
@@ -31,7 +31,7 @@
         except OSError:
             return False
         try:
-            async with asyncio.timeout(STAYS_OPEN_S):
+            async with asyncio.timeout(MIN_OPEN_S):
                 return bool(await reader.read(1))
         except TimeoutError:
             return True
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -29,16 +29,16 @@
     PermitBack,
     PermitReply,
 )
-from .content_news import news_of, take_news
-from .end_watch import BrokenRequest, EndWatch
+from .content_updates import content_update, apply_content_update
+from .target_end_detector import InterruptedRequest, TargetEndDetector
 from .guarded_run import GuardedRun
 from .peers import PeerCaller
-from .progress import Refused, may_have_run
+from .progress import RequestRefusedError, may_have_run
 
-PERMIT_CALL_S = 0.25
+PERMIT_CALL_TIMEOUT_S = 0.25
 """Bound on asking for a permit; hosts of a region answer in a few milliseconds."""
 
-PROBE_WAIT_S = 1.0
+MAX_PROBE_WAIT_S = 1.0
 """How long another attempt waits at most to know whether the last target ended, in
 seconds: longer than the question takes."""
 
@@ -46,7 +46,7 @@
 """How often a request asks for a permit that another run has: about what a plain
 request runs for."""
 
-PERMIT_WAIT_S = 0.5
+MAX_PERMIT_WAIT_S = 0.5
 """How long a request waits for a permit, in seconds: what ends targets does so earlier,
 and who waits for a stream to end would be late."""
 
@@ -86,7 +86,7 @@
     def address_of(self, host_id: HostId) -> Address | None:
         """Return where a host is reached."""
 
-    def tell_of(self, content: ContentId, is_own: bool) -> None:
+    def announce_content(self, content: ContentId, is_own: bool) -> None:
         """Have the others told of a content, seen by this host or by another."""
 
 
@@ -97,7 +97,7 @@
         self,
         me: HostId,
         quarantine: Quarantine,
-        ends: EndWatch,
+        ends: TargetEndDetector,
         fleet: Fleet,
         peers: PeerCaller,
         clock: Clock,
@@ -114,18 +114,18 @@
 
     # A request on its way.
 
-    def refuse_held(self, run: GuardedRun) -> None:
+    def refuse_if_held(self, run: GuardedRun) -> None:
         """Refuse a request whose content is held."""
         now = self.clock.monotonic()
         left = self.quarantine.hold_left(run.content, now)
         if not left:
             return
         if run.may_have_run:
-            raise Refused(may_have_run())
+            raise RequestRefusedError(may_have_run())
         ends = self.quarantine.ends(run.content)
         age_s = (now - ends[-1].at).total_seconds()
         text = f"{len(ends)} targets ended under such requests, one {age_s:.1f} s ago"
-        raise Refused(not_run(Reason.QUARANTINED, text, left))
+        raise RequestRefusedError(not_run(Reason.QUARANTINED, text, left))
 
     async def may_run(self, run: GuardedRun) -> bool:
         """Return whether a request may run now; after False, look at all anew.
@@ -144,12 +144,12 @@
             # What the giver knows may be news here.
             return not self.quarantine.hold_left(content, self.clock.monotonic())
         run.permit_waits += 1
-        if run.permit_waits * LOOK_AGAIN_S > PERMIT_WAIT_S:
-            raise Refused(self.not_permitted(run))
+        if run.permit_waits * LOOK_AGAIN_S > MAX_PERMIT_WAIT_S:
+            raise RequestRefusedError(self.not_permitted_refusal(run))
         await asyncio.sleep(LOOK_AGAIN_S)
         return False
 
-    def not_permitted(self, run: GuardedRun) -> Refusal:
+    def not_permitted_refusal(self, run: GuardedRun) -> Refusal:
         """Return the refusal of a request that waited for another like it."""
         if run.may_have_run:
             return may_have_run()
@@ -170,29 +170,29 @@
         known, _ = await asyncio.wait((verdict,), timeout=max(0.0, within_s))
         return bool(known) and not verdict.result()
 
-    def broke(
+    def handle_broken_connection(
         self, run: GuardedRun, target: Target, incarnation: int, ran_s: float
     ) -> None:
         """Take that a request's connection broke; nobody's answer waits for more."""
         now = self.clock.monotonic()
-        broken = BrokenRequest(
+        broken = InterruptedRequest(
             run.request_id, run.content, target, incarnation, ran_s, now
         )
         run.verdict = self.start(self.learn(broken))
 
-    async def learn(self, broken: BrokenRequest) -> bool:
+    async def learn(self, broken: InterruptedRequest) -> bool:
         """Find out whether the target ended, and count that against the content."""
-        has_ended = await self.ends.ended_under(broken)
+        has_ended = await self.ends.has_ended_during(broken)
         if has_ended:
             self.count(broken)
         return has_ended
 
     def take_catalogue(self, catalogue: Catalogue) -> None:
         """Count ends of targets that show by their later starts."""
-        for broken in self.ends.shown_by(catalogue, self.clock.monotonic()):
+        for broken in self.ends.find_restarted(catalogue, self.clock.monotonic()):
             self.count(broken)
 
-    def count(self, broken: BrokenRequest) -> None:
+    def count(self, broken: InterruptedRequest) -> None:
         """Count a target's end against the content of a request that was there."""
         now = self.clock.monotonic()
         end = TargetEnd(broken.target.target_id, broken.incarnation, now)
@@ -204,7 +204,7 @@
         now = self.clock.monotonic()
         if self.quarantine.clear(content, now, now):
             log.info("content cleared", extra={"content": content})
-            self.fleet.tell_of(content, is_own=True)
+            self.fleet.announce_content(content, is_own=True)
 
     def lift(self, content: ContentId) -> bool:
         """Let a content go at an operator's word; return whether it was suspect."""
@@ -212,7 +212,7 @@
         is_known = self.quarantine.clear(content, now, now)
         log.warning("quarantine lifted", extra={"content": content, "known": is_known})
         if is_known:
-            self.fleet.tell_of(content, is_own=True)
+            self.fleet.announce_content(content, is_own=True)
         return is_known
 
     def leave(self, run: GuardedRun) -> None:
@@ -233,8 +233,8 @@
         address = self.fleet.address_of(giver)
         if giver == self.me or address is None:
             return self.permits.grant(content, permit, now)
-        ask = AskPermit(permit, news_of(self.quarantine, content, now))
-        answer = await self.peers.call(address, ask, PERMIT_CALL_S)
+        ask = AskPermit(permit, content_update(self.quarantine, content, now))
+        answer = await self.peers.call(address, ask, PERMIT_CALL_TIMEOUT_S)
         reply = answer.value_or(None)
         if not isinstance(reply, PermitReply):
             log.warning("no permit giver", extra={"content": content, "peer": giver})
@@ -242,7 +242,7 @@
         self.hear(reply.news)
         return reply.is_granted
 
-    async def answer_ask(self, ask: AskPermit) -> PermitReply:
+    async def handle_ask_permit(self, ask: AskPermit) -> PermitReply:
         """Give a permit, unless another run has it or the content is held."""
         self.hear(ask.news)
         content = ask.news.content
@@ -250,7 +250,7 @@
         is_granted = not self.quarantine.hold_left(content, now) and self.permits.grant(
             content, ask.run, now
         )
-        return PermitReply(is_granted, news_of(self.quarantine, content, now))
+        return PermitReply(is_granted, content_update(self.quarantine, content, now))
 
     async def give_back(self, run: GuardedRun) -> None:
         """Give a permit back, with what the run showed."""
@@ -262,10 +262,10 @@
         address = self.fleet.address_of(giver)
         if giver != self.me and address is not None:
             now = self.clock.monotonic()
-            back = PermitBack(permit, news_of(self.quarantine, content, now))
-            await self.peers.call(address, back, PERMIT_CALL_S)
+            back = PermitBack(permit, content_update(self.quarantine, content, now))
+            await self.peers.call(address, back, PERMIT_CALL_TIMEOUT_S)
 
-    async def answer_back(self, back: PermitBack) -> ContentsReply:
+    async def handle_permit_back(self, back: PermitBack) -> ContentsReply:
         """Take a permit back."""
         self.hear(back.news)
         self.permits.give_back(back.news.content, back.run)
@@ -280,7 +280,7 @@
 
     def hear(self, news: ContentNews) -> None:
         """Take what a peer knows against a content."""
-        if take_news(self.quarantine, news, self.clock.monotonic()):
+        if apply_content_update(self.quarantine, news, self.clock.monotonic()):
             self.changed(news.content, is_own=False)
 
     def changed(self, content: ContentId, is_own: bool) -> None:
@@ -288,18 +288,18 @@
         now = self.clock.monotonic()
         left = self.quarantine.hold_left(content, now)
         if left:
-            held = self.held_content(content, now)
+            held = self.describe_held_content(content, now)
             log.warning("content quarantined", extra=asdict(held))
-        self.fleet.tell_of(content, is_own)
+        self.fleet.announce_content(content, is_own)
 
     # For operators.
 
     def held(self) -> list[HeldContent]:
         """Return the contents that are held."""
         now = self.clock.monotonic()
-        return [self.held_content(c, now) for c in self.quarantine.held(now)]
+        return [self.describe_held_content(c, now) for c in self.quarantine.held(now)]
 
-    def held_content(self, content: ContentId, now: Instant) -> HeldContent:
+    def describe_held_content(self, content: ContentId, now: Instant) -> HeldContent:
         """Return one content that is held."""
         ends = self.quarantine.ends(content)
         left = self.quarantine.hold_left(content, now)
--- a/packages/daemon/src/sardinequay_daemon/content_news.py
+++ b/packages/daemon/src/sardinequay_daemon/content_updates.py
@@ -15,7 +15,7 @@
     return round((now - at).total_seconds(), 3)
 
 
-def news_of(quarantine: Quarantine, content: ContentId, now: Instant) -> ContentNews:
+def content_update(quarantine: Quarantine, content: ContentId, now: Instant) -> ContentNews:
     """Return what this host knows against a content."""
     known = quarantine.suspicions.get(content)
     if known is None:
@@ -27,7 +27,7 @@
     )
 
 
-def take_news(quarantine: Quarantine, news: ContentNews, now: Instant) -> bool:
+def apply_content_update(quarantine: Quarantine, news: ContentNews, now: Instant) -> bool:
     """Take what a peer knows against a content; return whether anything is new."""
     is_new = False
     if news.cleared_s is not None:
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -11,7 +11,7 @@
 from sardinequay_core.usage_view import Counts
 
 from .content_messages import ContentNews
-from .content_news import news_of
+from .content_updates import content_update
 from .fleet_task import FleetTask, HeardDigest
 from .order_task import OrderTask
 from .peer_table import Peer
@@ -199,7 +199,7 @@
             return ()
         self.contents_told[host_id] = quarantine.suspicions[changed[-1]].number
         now = self.clock.monotonic()
-        return tuple(news_of(quarantine, content, now) for content in changed)
+        return tuple(content_update(quarantine, content, now) for content in changed)
 
     def untold_usage(self, host_id: HostId, scope: Scope) -> Counts:
         """Return what organisations used where that changed lately; all at first."""
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -22,15 +22,15 @@
 
 from .caller_requests import ModelRequest, guarded_run
 from .claimer import Claimer
-from .content_guard import PROBE_WAIT_S, ContentGuard
+from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .engines import EngineRequest, HttpEngines, events_of
 from .errors import TargetError, TargetFault
 from .guarded_run import GuardedRun
 from .journal import Journal
 from .lease_task import LeaseTask
 from .metrics import Metrics
-from .progress import Progress, Refused, too_late
-from .server_sent_events import Events
+from .progress import Progress, RequestRefusedError, deadline_refusal
+from .server_sent_events import EventBatch
 from .tracing import Tracing
 
 MAX_RESUMES = 3
@@ -64,7 +64,7 @@
     request: ModelRequest
     trace_headers: dict[str, str]
 
-    async def start(self) -> AsyncGenerator[Events, None]:
+    async def start(self) -> AsyncGenerator[EventBatch, None]:
         """Send the request and yield its events."""
         headers = {
             **self.trace_headers,
@@ -84,12 +84,12 @@
         async with self.engines.start(self.address, message) as answer:
             ran = answer.headers.get(ADAPTER_HEADER)
             if ran != str(self.request.adapter):
-                raise Refused(wrong_adapter(ran))
+                raise RequestRefusedError(wrong_adapter(ran))
             async with aclosing(events_of(answer)) as parts:
                 async for part in parts:
                     yield part
 
-    async def resume(self, after: int) -> AsyncGenerator[Events, None]:
+    async def resume(self, after: int) -> AsyncGenerator[EventBatch, None]:
         """Open the stream again and yield the events after one."""
         async with (
             self.engines.resume(self.address, self.request_id, after) as answer,
@@ -124,8 +124,8 @@
 
     async def events(
         self, request: ModelRequest, progress: Progress, span: Span
-    ) -> AsyncGenerator[Events, None]:
-        """Yield the answer's events; raises `Refused` when it cannot be completed."""
+    ) -> AsyncGenerator[EventBatch, None]:
+        """Yield the answer's events; raises `RequestRefusedError` when it cannot be completed."""
         run = guarded_run(request.envelope, "POST", request.path, request.body)
         async with self.claimer.guarded(request.envelope, progress, span):
             try:
@@ -139,27 +139,27 @@
 
     async def attempts(
         self, request: ModelRequest, progress: Progress, span: Span, run: GuardedRun
-    ) -> AsyncGenerator[Events, None]:
+    ) -> AsyncGenerator[EventBatch, None]:
         """Yield events from one engine after another until the answer is whole."""
         budget = self.budgets.of(request.pool.name)
         budget.first_attempt()
         while True:
             # An engine's end also counts against the request, which would else end one
             # engine after the other.
-            await self.guard.settled(run, PROBE_WAIT_S)
-            self.guard.refuse_held(run)
+            await self.guard.settled(run, MAX_PROBE_WAIT_S)
+            self.guard.refuse_if_held(run)
             use = await self.obtain(request, span)
             if not await self.guard.may_run(run):
                 continue
             # A process that was frozen must not act on a claim that may have expired.
             if self.leases.clock.monotonic() >= request.envelope.deadline:
-                raise Refused(too_late(progress))
+                raise RequestRefusedError(deadline_refusal(progress))
             if not self.leases.begin(use):
                 continue
             progress.begin_attempt()
             began = self.leases.clock.monotonic()
             try:
-                async with aclosing(self.run_on(use, request, progress, span)) as parts:
+                async with aclosing(self.run_on_engine(use, request, progress, span)) as parts:
                     async for part in parts:
                         yield part
                 return
@@ -167,7 +167,7 @@
                 target = self.leases.targets.get(use.target)
                 if not error.proves_not_run and target is not None:
                     ran_s = (self.leases.clock.monotonic() - began).total_seconds()
-                    self.guard.broke(run, target, 0, ran_s)
+                    self.guard.handle_broken_connection(run, target, 0, ran_s)
                 run.may_have_run = run.may_have_run or not error.proves_not_run
                 self.after_failure(request, use, progress, error, budget)
             finally:
@@ -184,13 +184,13 @@
                 request.pool.name, request.adapter, envelope.deadline
             )
         if not isinstance(found, Success):
-            raise Refused(found.failure())
+            raise RequestRefusedError(found.failure())
         obtained: Use = found.unwrap()
         return obtained
 
-    async def run_on(
+    async def run_on_engine(
         self, use: Use, request: ModelRequest, progress: Progress, parent: Span
-    ) -> AsyncGenerator[Events, None]:
+    ) -> AsyncGenerator[EventBatch, None]:
         """Yield events from one engine; have it stop if they are not all wanted."""
         address = self.leases.targets[use.target].address
         request_id = run_id(request, progress)
@@ -207,7 +207,7 @@
                 self.engines, address, request_id, request, self.tracing.headers(span)
             )
             try:
-                async with aclosing(self.unbroken(run, progress)) as parts:
+                async with aclosing(self.events_with_resume(run, progress)) as parts:
                     async for part in parts:
                         yield part
                 finished = True
@@ -218,9 +218,9 @@
                 if not finished:
                     await asyncio.shield(self.engines.cancel(address, request_id))
 
-    async def unbroken(
+    async def events_with_resume(
         self, run: EngineRun, progress: Progress
-    ) -> AsyncGenerator[Events, None]:
+    ) -> AsyncGenerator[EventBatch, None]:
         """Yield the events of one run, opening its stream again when it breaks."""
         resumes = 0
         source = run.start()
@@ -228,7 +228,7 @@
             try:
                 async with aclosing(source) as parts:
                     async for part in parts:
-                        check_order(part, progress.last_event)
+                        check_event_order(part, progress.last_event)
                         progress.last_event = part.last_id or progress.last_event
                         yield part
                         if part.done:
@@ -268,7 +268,7 @@
         if may_retry and budget.spend(progress.attempts):
             self.metrics.retries.inc({"pool": request.pool.name})
             return
-        raise Refused(refusal_of(error, progress))
+        raise RequestRefusedError(refusal_of(error, progress))
 
 
 def run_id(request: ModelRequest, progress: Progress) -> str:
@@ -280,7 +280,7 @@
     return f"{request.envelope.request_id}.{progress.attempts}-{nonce}"
 
 
-def check_order(part: Events, last: int) -> None:
+def check_event_order(part: EventBatch, last: int) -> None:
     """Refuse events that leave a gap or repeat what was passed on."""
     if part.first_id and part.first_id != last + 1:
         detail = f"event {part.first_id} after {last}"
--- a/packages/daemon/src/sardinequay_daemon/engines.py
+++ b/packages/daemon/src/sardinequay_daemon/engines.py
@@ -20,9 +20,9 @@
 from sardinequay_core.roster import Target, TargetKind
 
 from .errors import TargetError, TargetFault
-from .server_sent_events import EventCutter, Events
-from .target_errors import TurnedErrors
-from .target_probe import Sign
+from .server_sent_events import EventSplitter, EventBatch
+from .target_errors import TargetErrorTranslator
+from .target_probe import ProbeResult
 
 NOT_LOADED = "not_loaded"
 STALE_TOKEN = "stale_token"
@@ -147,7 +147,7 @@
         session = self.fresh_session if request.fresh_connection else self.session
         headers = {**request.headers, REQUEST_HEADER: request.request_id}
         url = f"http://{address}{request.path}"
-        with TurnedErrors():
+        with TargetErrorTranslator():
             call = session.post(
                 url, data=request.body, headers=headers, timeout=self.stream_timeout()
             )
@@ -166,7 +166,7 @@
         """
         url = f"http://{address}/v1/requests/{request_id}/events"
         try:
-            with TurnedErrors():
+            with TargetErrorTranslator():
                 call = self.fresh_session.get(
                     url, params={"after": str(after)}, timeout=self.stream_timeout()
                 )
@@ -200,22 +200,22 @@
     def __init__(self, engines: Engines) -> None:
         self.engines = engines
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> Sign:
+    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         """Return what a target shows; its starts are not told apart here."""
         if target.kind is not TargetKind.ENGINE:
-            return Sign.SOUND
+            return ProbeResult.SOUND
         try:
             async with asyncio.timeout(LOOK_S):
                 report = await self.engines.report(target)
         except TimeoutError:
-            return Sign.SILENT
-        return Sign.SOUND if isinstance(report, Success) else Sign.FAILING
+            return ProbeResult.SILENT
+        return ProbeResult.SOUND if isinstance(report, Success) else ProbeResult.FAILING
 
 
-async def events_of(answer: aiohttp.ClientResponse) -> AsyncGenerator[Events, None]:
+async def events_of(answer: aiohttp.ClientResponse) -> AsyncGenerator[EventBatch, None]:
     """Yield whole events of a stream as they come."""
-    cutter = EventCutter()
-    with TurnedErrors():
+    cutter = EventSplitter()
+    with TargetErrorTranslator():
         while data := await answer.content.readany():
             events = cutter.feed(data)
             if events is not None:
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -117,17 +117,17 @@
     answer: aiohttp.ClientResponse
 
 
-Begin = Callable[[AnswerHead], Awaitable[None]]
-Write = Callable[[bytes], Awaitable[None]]
+BeginAnswer = Callable[[AnswerHead], Awaitable[None]]
+WriteAnswer = Callable[[bytes], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
-class Sink:
+class AnswerSink:
     """Where an answer goes: its head first, then its bytes as they come."""
 
-    begin: Begin
-    write: Write
+    begin: BeginAnswer
+    write: WriteAnswer
 
 
-class BrokenOffError(DaemonError):
+class AnswerCutOffError(DaemonError):
     """An answer that had begun and cannot be completed."""
--- a/packages/daemon/src/sardinequay_daemon/fleet_task.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_task.py
@@ -249,7 +249,7 @@
         self.is_news_far = self.is_news_far or far
         self.news.set()
 
-    def tell_of(self, content: ContentId, is_own: bool) -> None:
+    def announce_content(self, content: ContentId, is_own: bool) -> None:
         """Have peers told of a content of requests; digests carry what is known."""
         self.tell_soon(far=True)
 
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -21,14 +21,14 @@
 from sardinequay_core.rollout import Offered
 from sardinequay_core.roster import Roster
 
-from .callers import CallerServer
+from .caller_server import CallerServer
 from .claimer import Claimer
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, ContentsTold, PermitBack
-from .content_spread import ContentSpread
+from .quarantine_replicator import QuarantineReplicator
 from .dispatch import ModelDispatcher, RetryBudgets
-from .end_watch import EndWatch
+from .target_end_detector import TargetEndDetector
 from .engines import EngineLooks, HttpEngines
 from .errors import StartError
 from .guard_task import GuardTask, claim_policy
@@ -219,13 +219,13 @@
     def make_content_guard(self, engines: HttpEngines) -> ContentGuard:
         """Make what stops requests under which targets end."""
         quarantine = Quarantine(QuarantinePolicy(same_end=SAME_END))
-        self.spread = ContentSpread(
+        self.spread = QuarantineReplicator(
             self.membership, self.peers, quarantine, self.clock, self.random
         )
         guard = ContentGuard(
             self.settings.host_id,
             quarantine,
-            EndWatch(
+            TargetEndDetector(
                 TargetProbe(
                     ConnectionProbe(self.listener.ip).accepts,
                     EngineLooks(engines),
@@ -322,8 +322,8 @@
         server.register(FetchRoster, self.roster.answer_fetch)
         server.register(Recall, self.leases.answer_recall)
         server.register(ContentsTold, self.spread.answer)
-        server.register(AskPermit, self.content_guard.answer_ask)
-        server.register(PermitBack, self.content_guard.answer_back)
+        server.register(AskPermit, self.content_guard.handle_ask_permit)
+        server.register(PermitBack, self.content_guard.handle_permit_back)
         for guarded in GUARD_MESSAGES:
             server.register(guarded, self.guard.inbox.ask)
         for kept in KEEPER_MESSAGES:
--- a/packages/daemon/src/sardinequay_daemon/wants.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -21,12 +21,12 @@
 
 
 @dataclass(slots=True)
-class WantBoard:
+class LoadRequestClient:
     """Asks for adapters."""
 
     state: RelayState
     peers: PeerCaller
-    tellings: set[asyncio.Task[None]] = field(default_factory=set)
+    report_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def ask(self, message: WantAdapter) -> WantReply:
         """Ask whoever orders the engine now."""
@@ -50,7 +50,7 @@
         self.state.fleet.suspect(keeper.host_id)
         return WantReply(False, f"no answer: {answer}")
 
-    def tell_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
+    def report_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
         """Tell that an adapter fell idle or came into use, if it did."""
         orders = self.state.orders
         if orders is None or count > 1:
@@ -58,7 +58,7 @@
         use = AdapterUse(target, adapter, count)
         self.tell_soon(target, UseChanged(orders.me, use))
 
-    def tell_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
+    def report_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
         """Tell that an engine denies to have an adapter."""
         target = published.target.target_id
         missing = AdapterMissing(target, adapter, published.incarnation)
@@ -67,8 +67,8 @@
     def tell_soon(self, target: TargetId, message: AdapterMissing | UseChanged) -> None:
         """Tell whoever orders an engine, without waiting for the answer."""
         task = asyncio.create_task(self.tell(target, message))
-        self.tellings.add(task)
-        task.add_done_callback(self.tellings.discard)
+        self.report_tasks.add(task)
+        task.add_done_callback(self.report_tasks.discard)
 
     async def tell(
         self, target: TargetId, message: AdapterMissing | UseChanged
--- a/packages/daemon/src/sardinequay_daemon/progress.py
+++ b/packages/daemon/src/sardinequay_daemon/progress.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(unsafe_hash=True)
-class Refused(DaemonError):
+class RequestRefusedError(DaemonError):
     """A request's final failure."""
 
     refusal: Refusal
@@ -58,14 +58,14 @@
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
 
-def truthful(refusal: Refusal, progress: Progress) -> Refusal:
+def with_proven_outcome(refusal: Refusal, progress: Progress) -> Refusal:
     """Return a refusal that does not say "not run" after an attempt that may have."""
     if refusal.outcome is Outcome.NOT_RUN and progress.outcome is not Outcome.NOT_RUN:
         return replace(refusal, outcome=progress.outcome)
     return refusal
 
 
-def too_late(progress: Progress) -> Refusal:
+def deadline_refusal(progress: Progress) -> Refusal:
     """Return the refusal of a request whose deadline has passed."""
     text = "the deadline passed"
     return Refusal(Reason.DEADLINE_EXPIRED, progress.outcome, text)
--- a/packages/daemon/src/sardinequay_daemon/content_spread.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -15,19 +15,19 @@
 from sardinequay_core.quarantine import Quarantine
 
 from .content_messages import ContentNews, ContentsReply, ContentsTold
-from .content_news import news_of
+from .content_updates import content_update
 from .mailbox import every
 from .membership_task import MembershipTask
 from .peers import PeerCaller
 
-GATHER_S = 0.02
+BATCH_DELAY_S = 0.02
 """All requests that were on a target that ended are told of in one message."""
 
-ASK_PERIOD_S = 1.0
+PULL_PERIOD_S = 1.0
 """How often a host asks another for all that it knows: mostly nothing."""
 
 
-class ContentSpread:
+class QuarantineReplicator:
     """Tells and asks; implements what the guard needs of the other hosts."""
 
     def __init__(
@@ -45,7 +45,7 @@
         self.random = random
         self.heard: Subject[tuple[ContentNews, ...]] = Subject()
         self.untold: set[ContentId] = set()
-        self.has_untold = asyncio.Event()
+        self.has_unsent = asyncio.Event()
         self.telling: set[asyncio.Task[None]] = set()
 
     # For the guard.
@@ -59,26 +59,26 @@
         live = {m.host_id: m.address for m in self.membership.live.value}
         return live.get(host_id)
 
-    def tell_of(self, content: ContentId, is_own: bool) -> None:
+    def announce_content(self, content: ContentId, is_own: bool) -> None:
         """Have all hosts told of what this one saw."""
         if is_own:
             self.untold.add(content)
-            self.has_untold.set()
+            self.has_unsent.set()
 
     # Tasks.
 
     async def run(self) -> None:
         """Tell and ask, for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.tell_on())
-            group.create_task(every(ASK_PERIOD_S, self.ask_one))
+            group.create_task(self.send_updates())
+            group.create_task(every(PULL_PERIOD_S, self.pull_from_peer))
 
-    async def tell_on(self) -> None:
+    async def send_updates(self) -> None:
         """Tell all hosts whenever there is something to tell."""
         while True:
-            await self.has_untold.wait()
-            await asyncio.sleep(GATHER_S)
-            self.has_untold.clear()
+            await self.has_unsent.wait()
+            await asyncio.sleep(BATCH_DELAY_S)
+            self.has_unsent.clear()
             told = ContentsTold(self.news(self.untold))
             self.untold = set()
             for address in self.others():
@@ -97,7 +97,7 @@
         """Tell one host; one that misses it asks."""
         await self.peers.call(address, told)
 
-    async def ask_one(self) -> None:
+    async def pull_from_peer(self) -> None:
         """Ask any host for all that it knows."""
         others = self.others()
         if not others:
@@ -117,4 +117,4 @@
     def news(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
         """Return what is known against some contents."""
         now = self.clock.monotonic()
-        return tuple(news_of(self.quarantine, c, now) for c in sorted(contents))
+        return tuple(content_update(self.quarantine, c, now) for c in sorted(contents))
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -11,11 +11,11 @@
 from sardinequay_core.serving import Repetition
 from sardinequay_core.target_health import Verdict
 
-from .attempt import Attempt, RelayParts
+from .attempt import Attempt, RelayDependencies
 from .content_guard import ContentGuard
 from .errors import TargetError, TargetFault
-from .exchange import BrokenOffError, Exchange, Sink
-from .progress import Refused, may_have_run
+from .exchange import AnswerCutOffError, Exchange, AnswerSink
+from .progress import RequestRefusedError, may_have_run
 from .target_picker import NO_TARGET_RETRY, TargetPicker, come_back
 
 log = logging.getLogger(__name__)
@@ -24,14 +24,14 @@
 class Relay:
     """Brings requests to targets and their answers back."""
 
-    def __init__(self, parts: RelayParts, guard: ContentGuard) -> None:
+    def __init__(self, parts: RelayDependencies, guard: ContentGuard) -> None:
         self.parts = parts
         self.guard = guard
         self.state = parts.state
         self.clock = parts.state.clock
         self.picker = TargetPicker(parts)
 
-    async def serve(self, exchange: Exchange, sink: Sink) -> None:
+    async def serve(self, exchange: Exchange, sink: AnswerSink) -> None:
         """Serve a request.
 
         Raises
@@ -48,13 +48,13 @@
             exchange.end_repeat(self.clock.monotonic())
             self.guard.leave(exchange.guarded)
 
-    async def attempt_all(self, exchange: Exchange, sink: Sink) -> None:
+    async def attempt_all(self, exchange: Exchange, sink: AnswerSink) -> None:
         """Try one target after another until one has answered."""
         while True:
             # A target's end also counts against the request: left to the judgement of
             # targets, one that ends whatever runs it would go on to the next.
             await self.settled(exchange)
-            self.guard.refuse_held(exchange.guarded)
+            self.guard.refuse_if_held(exchange.guarded)
             target = await self.picker.choose(exchange)
             if not await self.guard.may_run(exchange.guarded):
                 continue
@@ -75,7 +75,7 @@
         if end is AttemptEnd.REJECTED:
             exchange.rejections[target] += 1
 
-    async def resend(self, lost: Attempt, sink: Sink) -> AttemptEnd | None:
+    async def resend(self, lost: Attempt, sink: AnswerSink) -> AttemptEnd | None:
         """Send what a kept connection lost to the same target over a new one.
 
         Both sends are one of the runs that the route permits: they reach one target.
@@ -92,7 +92,7 @@
         use = self.repeat_use(exchange, now)
         if exchange.left(now) <= ZERO or not use.has_room:
             return AttemptEnd.MAY_HAVE_RUN
-        self.log_step(exchange, AttemptEnd.LOST_ON_KEPT, Next.AGAIN, use)
+        self.log_retry_decision(exchange, AttemptEnd.LOST_ON_KEPT, Next.AGAIN, use)
         exchange.begin_repeat(self.state.budget(exchange.pool))
         again = Attempt(self.parts, exchange, lost.published, is_resend=True)
         end = await self.run(again, sink)
@@ -103,7 +103,7 @@
         left_s = exchange.left(self.clock.monotonic()).total_seconds()
         await self.guard.settled(exchange.guarded, left_s)
         if exchange.so_far.runs and exchange.left(self.clock.monotonic()) <= ZERO:
-            raise Refused(may_have_run())
+            raise RequestRefusedError(may_have_run())
 
     async def follow(self, exchange: Exchange, end: AttemptEnd) -> None:
         """Permit another attempt by returning, or raise the request's end."""
@@ -115,7 +115,7 @@
         within_budget = end is AttemptEnd.NOT_SENT or use.has_room
         route = exchange.route
         if exchange.has_begun and route.repetition is not Repetition.RESUMABLE_STREAM:
-            raise BrokenOffError
+            raise AnswerCutOffError
         step = next_step(
             route.repetition,
             route.max_runs,
@@ -123,7 +123,7 @@
             exchange.left(now),
             within_budget,
         )
-        self.log_step(exchange, end, step, use)
+        self.log_retry_decision(exchange, end, step, use)
         if step is Next.AGAIN:
             if end is not AttemptEnd.NOT_SENT:
                 exchange.begin_repeat(self.state.budget(exchange.pool))
@@ -131,14 +131,14 @@
                 await asyncio.sleep(pause_s)
             return
         if exchange.has_begun:
-            raise BrokenOffError
-        raise Refused(self.final_refusal(step, within_budget))
+            raise AnswerCutOffError
+        raise RequestRefusedError(self.final_refusal(step, within_budget))
 
     def repeat_use(self, exchange: Exchange, now: Instant) -> RepeatUse:
         """Return what of this host's share of repeats at a pool is used."""
         return self.state.budget(exchange.pool).use(self.state.size.hosts(), now)
 
-    def log_step(
+    def log_retry_decision(
         self, exchange: Exchange, end: AttemptEnd, step: Next, use: RepeatUse
     ) -> None:
         """Log whether another attempt may follow, and from what that was decided."""
@@ -170,7 +170,7 @@
         wait = come_back(self.state.random, NO_TARGET_RETRY)
         return not_run(Reason.TARGET_REFUSED, text, wait)
 
-    async def run(self, attempt: Attempt, sink: Sink) -> AttemptEnd | None:
+    async def run(self, attempt: Attempt, sink: AnswerSink) -> AttemptEnd | None:
         """Send a request to one target; return how that failed, or None."""
         exchange, published = attempt.exchange, attempt.published
         attempt.enter()
@@ -182,7 +182,7 @@
             end = attempt.failed(error)
             if error.fault in (TargetFault.BROKEN, TargetFault.LOST_ON_KEPT):
                 incarnation = published.incarnation
-                self.guard.broke(
+                self.guard.handle_broken_connection(
                     exchange.guarded, published.target, incarnation, attempt.taken_s()
                 )
         finally:
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -18,14 +18,14 @@
 
 from .caller_answer import CallerAnswer
 from .caller_connection import CallerConnection
-from .caller_gate import CallerGate
-from .exchange import BrokenOffError, Exchange
+from .caller_admission import CallerAdmission
+from .exchange import AnswerCutOffError, Exchange
 from .guarded_run import GuardedRun
-from .progress import Refused
+from .progress import RequestRefusedError
 from .relay import Relay
 from .relay_state import RelayState
 from .serving_metrics import ServingMetrics
-from .serving_ports import CallDialect, RequestTerms
+from .serving_ports import HttpDialect, RequestTerms
 from .tracing import Tracing
 
 MAX_FIELD_BYTES = 16_384
@@ -35,7 +35,7 @@
 BODIES_MEMORY_SHARE = 0.2
 """Part of the process's memory that request bodies may take together."""
 
-SWEEP_S = 0.25
+OVERDUE_CHECK_S = 0.25
 """How often connections that take too long are looked for."""
 
 NO_CONFIG_RETRY = seconds(0.5)
@@ -50,9 +50,9 @@
     def __init__(
         self,
         relay: Relay,
-        gate: CallerGate,
+        gate: CallerAdmission,
         state: RelayState,
-        dialect: CallDialect,
+        dialect: HttpDialect,
         metrics: ServingMetrics,
         tracing: Tracing,
         clock: Clock,
@@ -66,7 +66,7 @@
         self.metrics = metrics
         self.tracing = tracing
         self.clock = clock
-        self.bodies_budget = int(memory_mb * 1e6 * BODIES_MEMORY_SHARE)
+        self.max_bodies_bytes = int(memory_mb * 1e6 * BODIES_MEMORY_SHARE)
         self.bodies_bytes = 0
         self.in_flight = 0
         self.is_closing = False
@@ -78,7 +78,7 @@
         return CallerConnection(
             self,
             self.clock,
-            keepalive_timeout=idle_s + SWEEP_S,
+            keepalive_timeout=idle_s + OVERDUE_CHECK_S,
             max_line_size=MAX_FIELD_BYTES,
             max_field_size=MAX_FIELD_BYTES,
             lingering_time=1.0,
@@ -90,15 +90,15 @@
         config = self.state.catalogue.config
         return config.limits if config is not None else CallerLimits()
 
-    async def sweep(self) -> None:
+    async def close_overdue_connections(self) -> None:
         """Close connections that take too long, for good."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(OVERDUE_CHECK_S)
             now, limits = self.clock.monotonic(), self.limits()
             for connection in self.connections:
                 if not isinstance(connection, CallerConnection):
                     continue
-                if connection.keeps_waiting(limits, now) or (
+                if connection.is_overdue(limits, now) or (
                     self.is_closing and connection.is_idle(now)
                 ):
                     connection.force_close()
@@ -142,11 +142,11 @@
                 self.bodies_bytes -= len(exchange.body)
                 exchange.span.end()
             return await answer.end(request_id)
-        except Refused as refused:
+        except RequestRefusedError as refused:
             if admitted is not None and refused.refusal.outcome is Outcome.NOT_RUN:
                 self.gate.give_back(admitted)
             return await answer.refuse(request_id, refused.refusal)
-        except BrokenOffError:
+        except AnswerCutOffError:
             return answer.cut_off(request_id, "the target's answer broke off")
         except (ConnectionError, aiohttp.ClientError) as error:
             return answer.cut_off(request_id, f"the caller is gone: {error!r}")
@@ -160,12 +160,12 @@
         limit = self.limits().max_header_bytes
         if size + len(http.raw_path) > limit:
             text = f"the headers exceed {limit} bytes"
-            raise Refused(not_run(Reason.HEADERS_TOO_LARGE, text))
+            raise RequestRefusedError(not_run(Reason.HEADERS_TOO_LARGE, text))
         if not http.raw_path.startswith("/"):
-            raise Refused(not_run(Reason.MALFORMED, "the target is no path"))
+            raise RequestRefusedError(not_run(Reason.MALFORMED, "the target is no path"))
         read = self.dialect.terms(http.headers)
         if not isinstance(read, Success):
-            raise Refused(read.failure())
+            raise RequestRefusedError(read.failure())
         terms: RequestTerms = read.unwrap()
         return terms
 
@@ -174,13 +174,13 @@
         config = self.state.catalogue.config
         if config is None:
             text = "no configuration is known yet"
-            raise Refused(not_run(Reason.NO_BUNDLE, text, NO_CONFIG_RETRY))
+            raise RequestRefusedError(not_run(Reason.NO_BUNDLE, text, NO_CONFIG_RETRY))
         host = http.headers.get("Host", "")
         path = http.raw_path.partition("?")[0]
         route = config.match(host, path) or config.match(host.partition(":")[0], path)
         if route is None:
             text = f"version {config.version} has no route there"
-            raise Refused(not_run(Reason.UNKNOWN_ROUTE, text))
+            raise RequestRefusedError(not_run(Reason.UNKNOWN_ROUTE, text))
         return config, route
 
     def refuse_if_closing(self, route: Route) -> None:
@@ -191,7 +191,7 @@
         time_left = stops_at - self.clock.monotonic()
         if route.timeout > time_left or route.repetition.is_stream:
             text = "this host is stopping; others serve you"
-            raise Refused(not_run(Reason.SHUTTING_DOWN, text, STOPPING_RETRY))
+            raise RequestRefusedError(not_run(Reason.SHUTTING_DOWN, text, STOPPING_RETRY))
 
     async def exchange(
         self,
@@ -235,7 +235,7 @@
         """
         limit = limits.max_body_bytes
         if (http.content_length or 0) > limit:
-            raise Refused(too_large(limit))
+            raise RequestRefusedError(too_large(limit))
         if not http.can_read_body:
             return b""
         if http.headers.get("Expect", "").lower() == "100-continue":
@@ -250,15 +250,15 @@
                     self.bodies_bytes += len(part)
                     parts.append(part)
                     if size > limit:
-                        raise Refused(too_large(limit))
-                    if self.bodies_bytes > self.bodies_budget:
+                        raise RequestRefusedError(too_large(limit))
+                    if self.bodies_bytes > self.max_bodies_bytes:
                         text = "the memory for bodies is used up"
-                        raise Refused(not_run(Reason.OVERLOADED, text, BODY_RETRY))
+                        raise RequestRefusedError(not_run(Reason.OVERLOADED, text, BODY_RETRY))
             return b"".join(parts)
         except TimeoutError as error:
             self.bodies_bytes -= size
             text = "the body did not come in time"
-            raise Refused(not_run(Reason.DEADLINE_EXPIRED, text)) from error
+            raise RequestRefusedError(not_run(Reason.DEADLINE_EXPIRED, text)) from error
         except BaseException:
             self.bodies_bytes -= size
             raise
@@ -269,10 +269,10 @@
     return not_run(Reason.TOO_LARGE, f"the body exceeds {limit} bytes")
 
 
-Ready = Callable[[], bool]
+ReadinessCheck = Callable[[], bool]
 
 
-def readiness_app(path: str, is_ready: Ready) -> web.Application:
+def readiness_app(path: str, is_ready: ReadinessCheck) -> web.Application:
     """Return the answers to the platform's question whether this host is ready."""
 
     async def ready(_: web.Request) -> web.Response:
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -83,8 +83,8 @@
     demand: AdapterDemand = field(default_factory=AdapterDemand)
     quarantine: Quarantine = field(default_factory=Quarantine)
     orders: OrderTask | None = None
-    view_from: HostId | None = None
-    view_at: Instant = ZERO
+    fleet_view_hub: HostId | None = None
+    fleet_view_at: Instant = ZERO
     slack_from: Instant = ZERO
     size: FleetSize = field(init=False)
     quotas: FleetQuotas = field(init=False)
@@ -102,13 +102,13 @@
         for target_id, published in catalogue.targets.items():
             was = before.targets.get(target_id)
             if was is not None and was.incarnation < published.incarnation:
-                self.forget_start(target_id)
+                self.forget_incarnation(target_id)
         self.quotas.take_catalogue(before, catalogue)
         known = frozenset(catalogue.targets)
         self.health.forget(known)
         self.residency.forget(known)
 
-    def forget_start(self, target_id: TargetId) -> None:
+    def forget_incarnation(self, target_id: TargetId) -> None:
         """Drop what was learned of an earlier start of a target."""
         self.health.forget_target(target_id)
         self.loads.forget_target(target_id)
@@ -120,14 +120,14 @@
         self.loads.measures_together = not self.fleet.is_mesh
         self.loads.peer_life = max(PEER_SHARE_LIFE, self.fleet.longest_silence())
         match digest.scope:
-            case Scope.HOST | Scope.DATA_CENTRE if self.gathers():
+            case Scope.HOST | Scope.DATA_CENTRE if self.receives_host_digests():
                 self.take_part(heard)
             case Scope.FLEET if self.fleet.hub() == digest.host:
                 self.take_sum(heard)
         for holdings in digest.holdings:
             self.hear_holdings(holdings, heard.at)
 
-    def gathers(self) -> bool:
+    def receives_host_digests(self) -> bool:
         """Return whether this host hears others' parts, not their sum from a hub."""
         return self.fleet.is_mesh or self.fleet.is_hub()
 
@@ -135,12 +135,12 @@
         """Take the part of one host, or of the hosts of one data centre."""
         digest, now = heard.digest, heard.at
         host_id = digest.host.host_id
-        if self.view_from is not None and not self.is_gathering(now):
+        if self.fleet_view_hub is not None and not self.is_gathering(now):
             # The sum over all hosts, told until now by a hub, counts this one, too.
-            self.lose_peer(self.view_from)
-            self.view_from = None
+            self.forget_peer(self.fleet_view_hub)
+            self.fleet_view_hub = None
         if digest.scope is Scope.DATA_CENTRE:
-            self.lose_behind(digest.host)
+            self.forget_peers_behind(digest.host)
         self.loads.hear(host_id, digest.shares, now)
         self.health.tally.hear(host_id, digest.outcomes, now)
         self.demand.hear(host_id, digest.demand, now)
@@ -153,9 +153,9 @@
 
         It goes by the last hub's sum until each has told its own, and tells no sum.
         """
-        if self.view_from is None:
+        if self.fleet_view_hub is None:
             return False
-        return now - self.view_at < GATHERING_PERIODS * seconds(
+        return now - self.fleet_view_at < GATHERING_PERIODS * seconds(
             self.fleet.hub_period_s()
         )
 
@@ -163,8 +163,8 @@
         """Take from this data centre's hub what all other hosts have and saw."""
         digest, now = heard.digest, heard.at
         host_id = digest.host.host_id
-        self.view_from = host_id
-        self.view_at = now
+        self.fleet_view_hub = host_id
+        self.fleet_view_at = now
         self.loads.hear_all(host_id, digest.shares, now)
         self.health.tally.hear_all(host_id, digest.outcomes, now)
         self.demand.hear_all(host_id, digest.demand, now)
@@ -172,14 +172,14 @@
         for peer in tuple(self.uses.peers):
             self.uses.forget(peer)
 
-    def lose_behind(self, hub: Contact) -> None:
+    def forget_peers_behind(self, hub: Contact) -> None:
         """Drop the parts of hosts that a data centre's hub speaks for."""
         for host_id in {*self.loads.peers, *self.uses.peers}:
             peer = self.fleet.peers.get(host_id)
             if host_id == hub.host_id or peer is None:
                 continue
             if peer.contact.data_centre == hub.data_centre:
-                self.lose_peer(host_id)
+                self.forget_peer(host_id)
 
     def hear_holdings(self, holdings: EngineHoldings, now: Instant) -> None:
         """Take what an engine holds from the host that orders it."""
@@ -201,7 +201,7 @@
         if self.residency.hear(holdings.target, held) and self.orders is not None:
             self.orders.hear_holdings(holdings)
 
-    def lose_peer(self, host_id: HostId) -> None:
+    def forget_peer(self, host_id: HostId) -> None:
         """Drop the share of a peer that is gone."""
         self.loads.forget(host_id)
         self.health.tally.forget(host_id)
@@ -230,7 +230,7 @@
         self.size.count()
         self.quotas.take_size()
 
-    def take_repeat_policy(self, policy: RepeatPolicy) -> None:
+    def apply_repeat_policy(self, policy: RepeatPolicy) -> None:
         """Take another bound on further attempts; what was counted stays."""
         self.repeat_policy = policy
         for budget in self.budgets.values():
--- a/packages/daemon/src/sardinequay_daemon/server_sent_events.py
+++ b/packages/daemon/src/sardinequay_daemon/server_sent_events.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Events:
+class EventBatch:
     """Whole events as they came.
 
     Parameters
@@ -28,13 +28,13 @@
     done: bool
 
 
-class EventCutter:
+class EventSplitter:
     """Collects bytes until they make whole events."""
 
     def __init__(self) -> None:
         self.rest = b""
 
-    def feed(self, data: bytes) -> Events | None:
+    def feed(self, data: bytes) -> EventBatch | None:
         """Take bytes; return the events that they complete, if any."""
         data = self.rest + data
         end = data.rfind(EVENT_END)
@@ -46,12 +46,12 @@
         whole, self.rest = data[: end + 2], data[end + 2 :]
         first = whole.find(ID_FIELD)
         last = whole.rfind(ID_FIELD)
-        return Events(
-            whole, number_at(whole, first), number_at(whole, last), DONE in whole
+        return EventBatch(
+            whole, event_id_at(whole, first), event_id_at(whole, last), DONE in whole
         )
 
 
-def number_at(data: bytes, position: int) -> int:
+def event_id_at(data: bytes, position: int) -> int:
     """Return the number after an ``id`` field at a position; 0 if there is none."""
     if position < 0:
         return 0
@@ -60,7 +60,7 @@
     return int(digits) if digits.isdigit() else 0
 
 
-def data_of(event: bytes) -> bytes:
+def event_data(event: bytes) -> bytes:
     """Return the data of one event; empty for a comment."""
     lines = event.split(b"\n")
     return b"\n".join(x[len(b"data: ") :] for x in lines if x.startswith(b"data: "))
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -20,13 +20,13 @@
 
 from .caller_requests import Envelope, guarded_run
 from .claimer import Claimer, WonClaim
-from .content_guard import PROBE_WAIT_S, ContentGuard
+from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .dispatch import RetryBudgets
 from .errors import TargetError, TargetFault
 from .journal import Journal
 from .metrics import Metrics
-from .progress import Progress, Refused, too_late
-from .target_errors import BROKEN_ERRORS, TurnedErrors
+from .progress import Progress, RequestRefusedError, deadline_refusal
+from .target_errors import BROKEN_ERRORS, TargetErrorTranslator
 from .tracing import Tracing
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
@@ -105,9 +105,9 @@
 
     def forward(
         self, request: ServiceRequest, progress: Progress, span: Span
-    ) -> Forwarding:
+    ) -> ForwardedRequest:
         """Return the way of one request to a target and of its answer back."""
-        return Forwarding(self, request, progress, span)
+        return ForwardedRequest(self, request, progress, span)
 
     def count(self, target: Target, change: int) -> None:
         """Count a request in or out at a target."""
@@ -125,7 +125,7 @@
         usable = [t for t in live if self.avoided.get(t.target_id, now) <= now]
         if not live:
             text = "no target of the service is live"
-            raise Refused(not_run(Reason.NO_TARGET, text, RETRY_AFTER))
+            raise RequestRefusedError(not_run(Reason.NO_TARGET, text, RETRY_AFTER))
         return min(
             usable or live,
             key=lambda t: (self.in_flight.get(t.target_id, 0), self.random.random()),
@@ -148,7 +148,7 @@
         )
         progress.end_attempt(error.proves_not_run)
         if not error.proves_not_run and not request.is_repeatable:
-            raise Refused(refusal_of(error, progress)) from error
+            raise RequestRefusedError(refusal_of(error, progress)) from error
 
     async def send(
         self, target: Target, request: ServiceRequest, span: Span, is_first: bool
@@ -159,12 +159,12 @@
         have gone silent, and then nobody could tell whether the request arrived. So
         does a further attempt, which a second broken connection must not cost.
         """
-        may_use_kept = request.is_repeatable and is_first
-        session = self.session if may_use_kept else self.fresh_session
+        may_reuse_connection = request.is_repeatable and is_first
+        session = self.session if may_reuse_connection else self.fresh_session
         self.journal.note(
             request.envelope.request_id, "dispatched", target=target.target_id
         )
-        with TurnedErrors():
+        with TargetErrorTranslator():
             return await session.request(
                 request.method,
                 f"http://{target.address}{request.path}",
@@ -176,17 +176,17 @@
 
     def headers(self, request: ServiceRequest, span: Span) -> CIMultiDict[str]:
         """Return the headers to pass on, and the trace's."""
-        headers = pass_through(request.headers)
+        headers = end_to_end_headers(request.headers)
         headers.popall("Authorization", None)
         headers["X-Request-Id"] = request.envelope.request_id
         headers.update(self.tracing.headers(span))
         return headers
 
 
-class Forwarding:
+class ForwardedRequest:
     """One request on its way; a context that yields the target's answer.
 
-    Entering raises `Refused` if no target gives an answer; leaving settles the key.
+    Entering raises `RequestRefusedError` if no target gives an answer; leaving settles the key.
     """
 
     def __init__(
@@ -237,12 +237,12 @@
         if error is None:
             self.forwarder.guard.answered(self.run.content)
         elif isinstance(error, BROKEN_ERRORS):
-            self.forwarder.guard.broke(self.run, self.target, 0, self.ran_s())
+            self.forwarder.guard.handle_broken_connection(self.run, self.target, 0, self.ran_s())
         self.forwarder.guard.leave(self.run)
         if isinstance(error, BROKEN_ERRORS):
             text = f"the answer was cut off: {error!r}"
             lost = Refusal(Reason.ANSWER_LOST, Outcome.RAN, text)
-            raise Refused(lost) from error
+            raise RequestRefusedError(lost) from error
 
     def settle(self, ran: bool) -> None:
         """Tell the guards what became of a claimed request."""
@@ -259,14 +259,14 @@
         while True:
             # A target's end also counts against the request, which would else end one
             # target after the other.
-            await guard.settled(run, PROBE_WAIT_S)
-            guard.refuse_held(run)
+            await guard.settled(run, MAX_PROBE_WAIT_S)
+            guard.refuse_if_held(run)
             target = forwarder.choose(request)
             if not await guard.may_run(run):
                 continue
             # A process that was frozen must not act on a claim that may have expired.
             if forwarder.clock.monotonic() >= request.envelope.deadline:
-                raise Refused(too_late(progress))
+                raise RequestRefusedError(deadline_refusal(progress))
             progress.begin_attempt()
             self.sent_at = forwarder.clock.monotonic()
             forwarder.count(target, 1)
@@ -278,18 +278,18 @@
                 return answer
             except TargetError as error:
                 if not error.proves_not_run:
-                    guard.broke(run, target, 0, self.ran_s())
+                    guard.handle_broken_connection(run, target, 0, self.ran_s())
                     run.may_have_run = True
                 forwarder.after_failure(request, target, progress, error)
                 if not budget.spend(progress.attempts):
-                    raise Refused(refusal_of(error, progress)) from error
+                    raise RequestRefusedError(refusal_of(error, progress)) from error
                 forwarder.metrics.retries.inc({"pool": request.service.pool})
             finally:
                 if self.target is None:
                     forwarder.count(target, -1)
 
 
-def pass_through(headers: Mapping[str, str]) -> CIMultiDict[str]:
+def end_to_end_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
     """Return the headers that are not about one connection only."""
     passed: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -16,14 +16,14 @@
 from sardinequay_core.repeat_budget import SLACK_AFTER
 from sardinequay_core.target_health import turn_of
 
-from .attempt import RelayParts
-from .caller_gate import CallerGate
+from .attempt import RelayDependencies
+from .caller_admission import CallerAdmission
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, PermitBack
 from .decision_log import BoundedOutput
 from .digest_writer import DigestWriter
-from .end_watch import EndWatch
+from .target_end_detector import TargetEndDetector
 from .errors import StartError
 from .fleet_task import FleetTask, HeardDigest
 from .host_pages import pages_app
@@ -44,7 +44,7 @@
 )
 from .serving_metrics import ServingMetrics
 from .serving_ports import (
-    CallDialect,
+    HttpDialect,
     EngineOrders,
     HostProfile,
     MetadataStore,
@@ -54,7 +54,7 @@
 from .target_probe import TargetProbe
 from .tracing import Tracing
 from .upstream import Upstream
-from .wants import WantBoard
+from .load_requests import LoadRequestClient
 
 EXIT_PORT_IN_USE = 3
 PEER_TIMING = TimingSettings(call_timeout_s=0.6, silence_s=1.0, connect_timeout_s=0.4)
@@ -84,7 +84,7 @@
 
     profile: HostProfile
     store: MetadataStore
-    dialect: CallDialect
+    dialect: HttpDialect
     engines: EngineOrders
 
 
@@ -172,7 +172,7 @@
         self.guard = ContentGuard(
             profile.host_id,
             self.state.quarantine,
-            EndWatch(
+            TargetEndDetector(
                 TargetProbe(
                     ConnectionProbe(profile.callers.ip).accepts,
                     deployment.engines,
@@ -187,11 +187,11 @@
             clock,
         )
         self.relay = Relay(
-            RelayParts(
+            RelayDependencies(
                 self.state,
                 deployment.dialect,
                 self.upstream,
-                WantBoard(self.state, self.peers),
+                LoadRequestClient(self.state, self.peers),
                 self.metrics,
                 tracing,
             ),
@@ -199,7 +199,7 @@
         )
         self.server = RelayServer(
             self.relay,
-            CallerGate(self.state, self.store_age_s, self.metrics),
+            CallerAdmission(self.state, self.store_age_s, self.metrics),
             self.state,
             deployment.dialect,
             self.metrics,
@@ -225,14 +225,14 @@
         self.fleet.digests.subscribe(self.take_contents)
         self.fleet.digests.subscribe(self.writer.take_digest)
         self.fleet.digests.subscribe(self.take_digest)
-        self.fleet.lost.subscribe(self.state.lose_peer)
+        self.fleet.lost.subscribe(self.state.forget_peer)
         self.fleet.lost.subscribe(self.writer.tell_anew)
         self.fleet.holds_lease = lambda: self.lease.is_holder
         self.lease.newest_revision = lambda: self.store.newest_revision
         server = self.peer_server
         server.register(Digest, self.fleet.answer)
-        server.register(AskPermit, self.guard.answer_ask)
-        server.register(PermitBack, self.guard.answer_back)
+        server.register(AskPermit, self.guard.handle_ask_permit)
+        server.register(PermitBack, self.guard.handle_permit_back)
         server.register(FetchItems, self.store.answer_fetch)
         server.register(Ballot, self.lease.answer_ballot)
         server.register(Resign, self.lease.answer_resign)
@@ -244,7 +244,7 @@
         """Take settings that changed: seeds and bounds; addresses stay."""
         self.profile = replace(self.profile, seeds=profile.seeds, bounds=profile.bounds)
         self.fleet.set_seeds(profile.seeds)
-        self.state.take_repeat_policy(profile.bounds.repeats)
+        self.state.apply_repeat_policy(profile.bounds.repeats)
         self.state.quotas.take_policy(profile.bounds.quotas)
         self.lease.take_policy(OrderPolicy(quiet=profile.bounds.order_quiet))
         log.info("settings reloaded", extra={"seeds": [str(s) for s in profile.seeds]})
@@ -310,7 +310,7 @@
                     group.create_task(self.store.run()),
                     group.create_task(self.fleet.run()),
                     group.create_task(self.orders.run()),
-                    group.create_task(self.server.sweep()),
+                    group.create_task(self.server.close_overdue_connections()),
                     group.create_task(self.tidy()),
                 ]
                 await stop.wait()
--- a/packages/daemon/src/sardinequay_daemon/serving_ports.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_ports.py
@@ -21,7 +21,7 @@
 from sardinequay_core.roster import Target
 
 from .errors import PlatformError
-from .target_probe import Sign
+from .target_probe import ProbeResult
 
 Headers = CIMultiDictProxy[str]
 
@@ -109,7 +109,7 @@
     is_misdirected: bool
 
 
-class CallDialect(Protocol):
+class HttpDialect(Protocol):
     """How requests and answers are spelled."""
 
     def terms(self, headers: Headers) -> Result[RequestTerms, Refusal]:
@@ -215,7 +215,7 @@
     ) -> Result[OrderAccepted | OrderRefused, PlatformError]:
         """Give an engine an order; a failure leaves open whether it was accepted."""
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> Sign:
+    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         """Return what a target shows of the start that had a request."""
 
 
--- a/packages/daemon/src/sardinequay_daemon/single_send.py
+++ b/packages/daemon/src/sardinequay_daemon/single_send.py
@@ -60,7 +60,7 @@
 
     def __init__(self, note: Callable[[], None]) -> None:
         self.note = note
-        self.is_on_kept = False
+        self.is_on_reused_connection = False
 
     async def __call__(
         self, request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
@@ -76,26 +76,26 @@
         try:
             return await send_once(request, handler)
         except ConnectionLostError as error:
-            if not self.is_on_kept:
+            if not self.is_on_reused_connection:
                 raise
             raise TargetError(TargetFault.LOST_ON_KEPT, str(error)) from error
 
 
-def watch_kept() -> aiohttp.TraceConfig:
+def connection_reuse_trace() -> aiohttp.TraceConfig:
     """Return what tells sends that their connections had been used before.
 
     Each call of the session gives its `CountedSend` as its trace's context.
     """
     trace = aiohttp.TraceConfig()
-    trace.on_connection_reuseconn.append(mark_kept)
+    trace.on_connection_reuseconn.append(mark_connection_reused)
     return trace
 
 
-async def mark_kept(
+async def mark_connection_reused(
     _: aiohttp.ClientSession,
     context: SimpleNamespace,
     __: aiohttp.TraceConnectionReuseconnParams,
 ) -> None:
     """Note that a request goes over a connection that had been used before."""
     send: CountedSend = context.trace_request_ctx
-    send.is_on_kept = True
+    send.is_on_reused_connection = True
--- a/packages/daemon/src/sardinequay_daemon/end_watch.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -16,22 +16,22 @@
 from sardinequay_core.names import ContentId, PoolName, TargetId
 from sardinequay_core.roster import Target
 
-ASK_AFTER_S = 0.02
+PROBE_DELAY_S = 0.02
 """A process that ends closes its connections and its listener one after the other."""
 
-SHOWS_WITHIN = seconds(4)
+RESTART_VISIBLE_WITHIN = seconds(4)
 """A target that starts again tells the store with its first entry, some heartbeats
 after it ended. A later start has other reasons."""
 
-MOST_BROKEN = 256
+MAX_PRESUMED_ALIVE = 256
 """Broken requests that are kept for that; the oldest go first."""
 
-Lives = Callable[[Target, int], Awaitable[bool]]
+AliveCheck = Callable[[Target, int], Awaitable[bool]]
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenRequest:
+class InterruptedRequest:
     """A request whose connection to a target broke.
 
     Parameters
@@ -52,7 +52,7 @@
     at: Instant = field(default=ZERO, compare=False)
 
 
-class EndWatch:
+class TargetEndDetector:
     """Asks targets whether they live after requests broke there, once for all of them.
 
     Parameters
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        lives: Lives,
+        lives: AliveCheck,
         is_live: Callable[[TargetId], bool],
         note_end: Callable[[PoolName], None],
     ) -> None:
@@ -76,9 +76,9 @@
         self.is_live = is_live
         self.note_end = note_end
         self.asking: dict[tuple[TargetId, int], asyncio.Task[bool]] = {}
-        self.seemed_alive: deque[BrokenRequest] = deque(maxlen=MOST_BROKEN)
+        self.presumed_alive: deque[InterruptedRequest] = deque(maxlen=MAX_PRESUMED_ALIVE)
 
-    async def ended_under(self, broken: BrokenRequest) -> bool:
+    async def has_ended_during(self, broken: InterruptedRequest) -> bool:
         """Return whether a target ended, unplanned, while it had a request."""
         target = broken.target
         if not self.is_live(target.target_id):
@@ -93,29 +93,29 @@
         if has_ended:
             self.note(broken)
         else:
-            self.seemed_alive.append(broken)
+            self.presumed_alive.append(broken)
         return has_ended
 
-    def shown_by(self, catalogue: Catalogue, now: Instant) -> list[BrokenRequest]:
+    def find_restarted(self, catalogue: Catalogue, now: Instant) -> list[InterruptedRequest]:
         """Return requests whose targets had ended, by what the store lists now."""
-        since = now - SHOWS_WITHIN
-        while self.seemed_alive and self.seemed_alive[0].at < since:
-            self.seemed_alive.popleft()
-        shown = [b for b in self.seemed_alive if has_started_again(b, catalogue)]
+        since = now - RESTART_VISIBLE_WITHIN
+        while self.presumed_alive and self.presumed_alive[0].at < since:
+            self.presumed_alive.popleft()
+        shown = [b for b in self.presumed_alive if has_started_again(b, catalogue)]
         for broken in shown:
-            self.seemed_alive.remove(broken)
+            self.presumed_alive.remove(broken)
             self.note(broken)
         return shown
 
     async def ask(self, target: Target, incarnation: int) -> bool:
         """Return whether a start of a target has ended."""
-        await asyncio.sleep(ASK_AFTER_S)
+        await asyncio.sleep(PROBE_DELAY_S)
         has_ended = not await self.lives(target, incarnation)
         if has_ended:
             self.note_end(target.pool)
         return has_ended
 
-    def note(self, broken: BrokenRequest) -> None:
+    def note(self, broken: InterruptedRequest) -> None:
         """Log that a target ended under a request."""
         log.warning(
             "target ended",
@@ -129,7 +129,7 @@
         )
 
 
-def has_started_again(broken: BrokenRequest, catalogue: Catalogue) -> bool:
+def has_started_again(broken: InterruptedRequest, catalogue: Catalogue) -> bool:
     """Return whether a later start of a request's target is listed."""
     target = broken.target
     listed = catalogue.targets.get(target.target_id)
--- a/packages/daemon/src/sardinequay_daemon/target_errors.py
+++ b/packages/daemon/src/sardinequay_daemon/target_errors.py
@@ -8,7 +8,7 @@
 BROKEN_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
 
 
-class TurnedErrors:
+class TargetErrorTranslator:
     """Turns the HTTP library's errors into what they prove.
 
     A class, not a generator: it stands on the path of every request.
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -19,9 +19,9 @@
     choose,
 )
 
-from .attempt import RelayParts
+from .attempt import RelayDependencies
 from .exchange import Exchange
-from .progress import Refused, may_have_run
+from .progress import RequestRefusedError, may_have_run
 from .serving_messages import WantAdapter, WantReply
 from .target_options import TargetOptions
 
@@ -30,24 +30,24 @@
 little longer than a load takes. Bound to its first choice it would wait for a place
 while other engines have some."""
 
-MAX_FAILED_ASKS = 4
+MAX_FAILED_LOAD_REQUESTS = 4
 """Wishes for an adapter that may fail before a request is refused."""
 
-UNKNOWN_WAIT_S = 2.0
+ASSUMED_QUEUE_WAIT_S = 2.0
 """Taken for an engine's queue after a wish there failed without saying how long."""
 
-MAX_OFFERS = 2
+MAX_REJECTIONS_PER_TARGET = 2
 """How often a target of a plain pool is offered one request: each further arrival costs
 a full one work that serves nobody."""
 
-OFFER_PAUSE_S = 0.02
+NEXT_TARGET_PAUSE_S = 0.02
 """Before a request that was rejected is offered to another target, in seconds."""
 
 SAME_TARGET_PAUSE_S = 0.1
 """The same before it is offered to one that rejected it: for so long a target counts as
 full."""
 
-RETRY_SPREAD_S = 0.25
+RETRY_JITTER_S = 0.25
 """Callers that are told to come back at one moment come spread over this."""
 
 NO_TARGET_RETRY = seconds(0.5)
@@ -63,7 +63,7 @@
 class TargetPicker:
     """Chooses by the state of this host and what keepers of engines answer."""
 
-    def __init__(self, parts: RelayParts) -> None:
+    def __init__(self, parts: RelayDependencies) -> None:
         self.state = parts.state
         self.options = TargetOptions(parts.state)
         self.wants = parts.wants
@@ -83,7 +83,7 @@
         options = self.options.service_options(exchange.pool, exchange.tried)
         found = choose_service(options)
         if found is None:
-            raise Refused(self.no_target(exchange))
+            raise RequestRefusedError(self.no_target(exchange))
         self.log_choice(exchange, found, "least filled", len(options))
         return self.state.catalogue.targets[found]
 
@@ -97,18 +97,18 @@
             are left to their own choice.
         """
         if exchange.terms.model:
-            return OFFER_PAUSE_S
+            return NEXT_TARGET_PAUSE_S
         usable = self.options.usable(exchange.pool, self.clock.monotonic())
         asked = [exchange.rejections[t.target.target_id] for t in usable]
         if 0 in asked:
-            return OFFER_PAUSE_S
-        if min(asked, default=MAX_OFFERS) < MAX_OFFERS:
+            return NEXT_TARGET_PAUSE_S
+        if min(asked, default=MAX_REJECTIONS_PER_TARGET) < MAX_REJECTIONS_PER_TARGET:
             return SAME_TARGET_PAUSE_S
         if exchange.so_far.runs:
-            raise Refused(may_have_run())
+            raise RequestRefusedError(may_have_run())
         text = "each target of the pool has rejected the request"
         wait = come_back(self.state.random, NO_TARGET_RETRY)
-        raise Refused(not_run(Reason.TARGET_REFUSED, text, wait))
+        raise RequestRefusedError(not_run(Reason.TARGET_REFUSED, text, wait))
 
     def no_target(self, exchange: Exchange) -> Refusal:
         """Return the refusal of a request for which there is no target."""
@@ -122,7 +122,7 @@
     async def choose_engine(self, exchange: Exchange) -> PublishedTarget:
         """Return the engine for the next attempt, with the adapter on it."""
         told: dict[TargetId, Instant] = {}
-        failed_asks = 0
+        failed_requests = 0
         terms = exchange.terms
         if terms.adapter:
             self.state.demand.note(terms.adapter, self.clock.monotonic())
@@ -144,7 +144,7 @@
                 )
                 return self.state.catalogue.targets[choice.target]
             if not isinstance(choice, Load):
-                raise Refused(self.no_engine(exchange, choice, left_s))
+                raise RequestRefusedError(self.no_engine_refusal(exchange, choice, left_s))
             reply = await self.wait_for_load(exchange, choice.target, left_s)
             if reply.is_ready:
                 continue
@@ -152,13 +152,13 @@
             if reply.is_queued:
                 told[choice.target] = now + seconds(reply.expected_s)
                 continue
-            told[choice.target] = now + seconds(reply.expected_s or UNKNOWN_WAIT_S)
-            failed_asks += 1
-            if failed_asks >= MAX_FAILED_ASKS:
+            told[choice.target] = now + seconds(reply.expected_s or ASSUMED_QUEUE_WAIT_S)
+            failed_requests += 1
+            if failed_requests >= MAX_FAILED_LOAD_REQUESTS:
                 busy = TooBusy(min(time_left(told, now).values()))
-                raise Refused(self.no_engine(exchange, busy, left_s))
+                raise RequestRefusedError(self.no_engine_refusal(exchange, busy, left_s))
 
-    def no_engine(
+    def no_engine_refusal(
         self, exchange: Exchange, choice: TooBusy | Nowhere, left_s: float
     ) -> Refusal:
         """Return the refusal of a request that no engine can begin in time."""
@@ -186,7 +186,7 @@
         ask = WantAdapter(
             target,
             wanted,
-            worth_of(exchange.priority),
+            request_worth(exchange.priority),
             goal_s,
             left_s * PATIENCE,
             exchange.waited_s(began),
@@ -262,11 +262,11 @@
     return {t: max(0.0, (at - now).total_seconds()) for t, at in due.items()}
 
 
-def worth_of(priority: int) -> float:
+def request_worth(priority: int) -> float:
     """Return what an answer is worth against another's: the more urgent, the more."""
     return 1.0 + 1.0 / (1 + priority)
 
 
 def come_back(random: Random, after: timedelta) -> timedelta:
     """Return when to come back, spread so that callers do not come at once."""
-    return after + seconds(random.uniform(0, RETRY_SPREAD_S))
+    return after + seconds(random.uniform(0, RETRY_JITTER_S))
--- a/packages/daemon/src/sardinequay_daemon/target_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/target_probe.py
@@ -13,7 +13,7 @@
 from sardinequay_core.roster import Target
 
 
-class Sign(Enum):
+class ProbeResult(Enum):
     """What a target shows when it is asked about itself."""
 
     SOUND = "sound"
@@ -23,10 +23,10 @@
     SILENT = "silent"
 
 
-class Looks(Protocol):
+class StatusProbe(Protocol):
     """Asks a target about itself."""
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> Sign:
+    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         """Return what a target shows of the start that had a request.
 
         Parameters
@@ -53,7 +53,7 @@
     def __init__(
         self,
         accepts: Callable[[Address], Awaitable[bool]],
-        looks: Looks,
+        looks: StatusProbe,
         is_busy: Callable[[TargetId], bool],
         health_path: Callable[[PoolName], str],
     ) -> None:
@@ -68,6 +68,6 @@
             return False
         path = self.health_path(target.pool)
         sign = await self.looks.look(target, incarnation, path)
-        if sign in (Sign.REFUSING, Sign.SILENT):
+        if sign in (ProbeResult.REFUSING, ProbeResult.SILENT):
             return self.is_busy(target.target_id)
-        return sign is Sign.SOUND
+        return sign is ProbeResult.SOUND
--- a/packages/daemon/src/sardinequay_daemon/upstream.py
+++ b/packages/daemon/src/sardinequay_daemon/upstream.py
@@ -16,8 +16,8 @@
 
 from .connection_probe import CONNECT_S
 from .errors import TargetError, TargetFault
-from .single_send import CountedSend, client_session, watch_kept
-from .target_errors import TurnedErrors
+from .single_send import CountedSend, client_session, connection_reuse_trace
+from .target_errors import TargetErrorTranslator
 
 IDLE_CONNECTION_S = 3.0
 """How long a connection is kept for another request. Targets keep theirs longer; what
@@ -26,11 +26,11 @@
 MAX_WHOLE_BYTES = 65_536
 """Answers up to this are read whole before the caller gets any of them."""
 
-NO_AUTOMATIC_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class UpstreamRequest:
     """A request as it goes out.
 
     Parameters
@@ -44,10 +44,10 @@
     path: str
     headers: CIMultiDict[str]
     body: bytes
-    may_use_kept: bool
+    may_reuse_connection: bool
 
 
-class WatchedConnection(ResponseHandler):
+class StrictResponseHandler(ResponseHandler):
     """A connection that tells a reset from an end, and notices what nobody asked for.
 
     The library takes any end of a connection for the end of an answer without a length.
@@ -66,12 +66,12 @@
         return super().is_connected() and not self.should_close
 
 
-class Connector(aiohttp.TCPConnector):
+class UpstreamConnector(aiohttp.TCPConnector):
     """Opens watched connections."""
 
     def __init__(self, source_ip: str, **options: Any) -> None:
         super().__init__(limit=0, local_addr=(source_ip, 0), **options)
-        self._factory = partial(WatchedConnection, loop=self._loop)  # type: ignore[assignment]
+        self._factory = partial(StrictResponseHandler, loop=self._loop)  # type: ignore[assignment]
 
 
 class Upstream:
@@ -79,15 +79,15 @@
 
     def __init__(self, source_ip: str) -> None:
         self.pooled = make_session(
-            Connector(source_ip, keepalive_timeout=IDLE_CONNECTION_S)
+            UpstreamConnector(source_ip, keepalive_timeout=IDLE_CONNECTION_S)
         )
-        self.fresh = make_session(Connector(source_ip, force_close=True))
+        self.fresh = make_session(UpstreamConnector(source_ip, force_close=True))
 
     @asynccontextmanager
     async def send(
         self,
         address: Address,
-        request: Outgoing,
+        request: UpstreamRequest,
         head_within_s: float,
         note_send: Callable[[], None],
     ) -> AsyncGenerator[aiohttp.ClientResponse, None]:
@@ -115,25 +115,25 @@
     async def head(
         self,
         address: Address,
-        request: Outgoing,
+        request: UpstreamRequest,
         within_s: float,
         note_send: Callable[[], None],
     ) -> aiohttp.ClientResponse:
         """Send a request and wait for the head of its answer."""
-        session = self.pooled if request.may_use_kept else self.fresh
+        session = self.pooled if request.may_reuse_connection else self.fresh
         url = URL(f"http://{address}{request.path}", encoded=True)
         send = CountedSend(note_send)
         timer = asyncio.timeout(within_s)
         try:
             async with timer:
-                with TurnedErrors():
+                with TargetErrorTranslator():
                     return await session.request(
                         request.method,
                         url,
                         data=request.body or None,
                         headers=request.headers,
                         allow_redirects=False,
-                        skip_auto_headers=NO_AUTOMATIC_HEADERS,
+                        skip_auto_headers=SKIPPED_AUTO_HEADERS,
                         middlewares=(send,),
                         trace_request_ctx=send,
                     )
@@ -154,5 +154,5 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
-        trace_configs=[watch_kept()],
+        trace_configs=[connection_reuse_trace()],
     )
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -20,11 +20,11 @@
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_daemon.content_guard import ContentGuard
 from sardinequay_daemon.content_messages import AskPermit
-from sardinequay_daemon.content_news import news_of
-from sardinequay_daemon.end_watch import BrokenRequest
+from sardinequay_daemon.content_updates import content_update
+from sardinequay_daemon.target_end_detector import InterruptedRequest
 from sardinequay_daemon.errors import PeerError
 from sardinequay_daemon.guarded_run import GuardedRun
-from sardinequay_daemon.progress import Refused
+from sardinequay_daemon.progress import RequestRefusedError
 
 from .conftest import TurnedClock
 
@@ -38,7 +38,7 @@
 
     has_ended = True
 
-    async def ended_under(self, _: BrokenRequest) -> bool:
+    async def has_ended_during(self, _: InterruptedRequest) -> bool:
         return self.has_ended
 
 
@@ -55,7 +55,7 @@
     def address_of(self, host_id: HostId) -> Address:
         return Address("127.0.0.1", 1 + HOSTS.index(host_id))
 
-    def tell_of(self, content: ContentId, is_own: bool) -> None:
+    def announce_content(self, content: ContentId, is_own: bool) -> None:
         self.told += 1
 
 
@@ -71,7 +71,7 @@
             return Failure(PeerError(str(address), "cut"))
         guard = self.guards[address.port - 1]
         is_ask = isinstance(message, AskPermit)
-        answer = guard.answer_ask if is_ask else guard.answer_back
+        answer = guard.handle_ask_permit if is_ask else guard.handle_permit_back
         return Success(await answer(message))
 
 
@@ -97,7 +97,7 @@
 async def ended(guard: ContentGuard, name: str) -> None:
     """Let a target end under a request, and the host learn of it."""
     sent = run()
-    guard.broke(sent, target(name), 1, 0.1)
+    guard.handle_broken_connection(sent, target(name), 1, 0.1)
     await guard.settled(sent, 5.0)
 
 
@@ -112,18 +112,18 @@
 
 async def test_content_without_an_end_runs_as_it_likes(net, clock) -> None:
     for guard in net.guards:
-        guard.refuse_held(run())
+        guard.refuse_if_held(run())
         assert await guard.may_run(run())
 
 
 async def test_second_end_holds_it_and_says_when_to_come_back(net, clock) -> None:
     guard = net.guards[0]
     await ended(guard, "e1")
-    guard.refuse_held(run())
+    guard.refuse_if_held(run())
     await ended(guard, "e2")
     clock.turn(1)
-    with pytest.raises(Refused) as caught:
-        guard.refuse_held(run())
+    with pytest.raises(RequestRefusedError) as caught:
+        guard.refuse_if_held(run())
     refusal = caught.value.refusal
     assert (refusal.reason, refusal.outcome) == (Reason.QUARANTINED, Outcome.NOT_RUN)
     assert refusal.status == 503
@@ -137,8 +137,8 @@
         await ended(guard, name)
     sent = run()
     sent.may_have_run = True
-    with pytest.raises(Refused) as caught:
-        guard.refuse_held(sent)
+    with pytest.raises(RequestRefusedError) as caught:
+        guard.refuse_if_held(sent)
     assert caught.value.refusal.outcome is Outcome.UNKNOWN
 
 
@@ -167,7 +167,7 @@
     other.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
     assert await guard.may_run(run())
     waiting = run()
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(RequestRefusedError) as caught:
         while not await other.may_run(waiting):
             pass
     assert caught.value.refusal.reason is Reason.QUARANTINED
@@ -180,7 +180,7 @@
         g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
     sent = run()
     assert await guard.may_run(sent)
-    guard.broke(sent, target("e2"), 1, 0.1)
+    guard.handle_broken_connection(sent, target("e2"), 1, 0.1)
     guard.leave(sent)
     while guard.tasks:
         await asyncio.gather(*guard.tasks)
@@ -204,7 +204,7 @@
         g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
     clock.turn(1)
     guard.answered(FATAL)
-    other.hear(news_of(guard.quarantine, FATAL, clock.monotonic()))
+    other.hear(content_update(guard.quarantine, FATAL, clock.monotonic()))
     assert not other.quarantine.is_suspect(FATAL)
 
 
@@ -214,16 +214,16 @@
         await ended(guard, name)
     clock.turn(1)
     assert guard.lift(FATAL)
-    guard.refuse_held(run())
+    guard.refuse_if_held(run())
 
 
 async def test_ends_told_by_one_host_hold_it_at_all(net, clock) -> None:
     guard, other = net.guards[:2]
     for name in ("e1", "e2"):
         await ended(guard, name)
-    other.hear(news_of(guard.quarantine, FATAL, clock.monotonic()))
-    with pytest.raises(Refused):
-        other.refuse_held(run())
+    other.hear(content_update(guard.quarantine, FATAL, clock.monotonic()))
+    with pytest.raises(RequestRefusedError):
+        other.refuse_if_held(run())
 
 
 def broken_end(clock: TurnedClock) -> TargetEnd:
--- a/packages/daemon/tests/test_errors.py
+++ b/packages/daemon/tests/test_errors.py
@@ -8,7 +8,7 @@
 from sardinequay_core.errors import BundleError
 from sardinequay_core.outcome import Reason, not_run
 from sardinequay_daemon.errors import PeerError, StartError, TargetError, TargetFault
-from sardinequay_daemon.progress import Refused
+from sardinequay_daemon.progress import RequestRefusedError
 from sardinequay_daemon.wire import FrameError
 
 
@@ -18,7 +18,7 @@
         BundleError("reason", "detail"),
         FrameError("detail"),
         PeerError("address", "detail"),
-        Refused(not_run(Reason.OVERLOADED, "full")),
+        RequestRefusedError(not_run(Reason.OVERLOADED, "full")),
         StartError("message", 3),
         TargetError(TargetFault.BROKEN, "detail"),
     ],
--- a/packages/daemon/tests/test_events.py
+++ b/packages/daemon/tests/test_events.py
@@ -6,15 +6,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sardinequay_daemon.answers import WholeAnswer
-from sardinequay_daemon.server_sent_events import MAX_EVENT_BYTES, EventCutter
+from sardinequay_daemon.answers import CompletionAssembler
+from sardinequay_daemon.server_sent_events import MAX_EVENT_BYTES, EventSplitter
 
 STREAM = b'id: 1\ndata: {"a":1}\n\n: alive\n\nid: 2\ndata: [DONE]\n\n'
 
 
 @given(st.integers(1, len(STREAM)))
 def test_events_are_whole_wherever_the_bytes_are_cut(size: int) -> None:
-    cutter = EventCutter()
+    cutter = EventSplitter()
     pieces = [STREAM[i : i + size] for i in range(0, len(STREAM), size)]
     events = [e for e in map(cutter.feed, pieces) if e is not None]
     assert b"".join(e.data for e in events) == STREAM
@@ -24,7 +24,7 @@
 
 
 def test_event_without_end_is_bounded() -> None:
-    cutter = EventCutter()
+    cutter = EventSplitter()
     with pytest.raises(ValueError, match="limit"):
         cutter.feed(b"x" * (MAX_EVENT_BYTES + 1))
 
@@ -35,7 +35,7 @@
 
 
 def test_chunks_of_a_completion_become_one_text() -> None:
-    whole = WholeAnswer()
+    whole = CompletionAssembler()
     for text in ("a ", "b"):
         whole.take(chunk({"text": text}, "text_completion"))
     whole.take(b"data: [DONE]\n\n")
@@ -45,7 +45,7 @@
 
 
 def test_chunks_of_a_chat_become_one_message() -> None:
-    whole = WholeAnswer()
+    whole = CompletionAssembler()
     for text in ("a ", "b"):
         whole.take(chunk({"delta": {"content": text}}, "chat.completion.chunk"))
     body = json.loads(whole.body())
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -39,7 +39,7 @@
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_core.target_health import Verdict
 from sardinequay_core.usage_view import Usage
-from sardinequay_daemon.content_news import take_news
+from sardinequay_daemon.content_updates import apply_content_update
 from sardinequay_daemon.digest_writer import DigestWriter
 from sardinequay_daemon.fleet_task import SEED_PERIOD_S, FleetTask, HeardDigest
 from sardinequay_daemon.relay_state import RelayState
@@ -125,7 +125,7 @@
         self.fleet.digests.subscribe(self.take_contents)
         self.contents_heard = 0
         self.fleet.digests.subscribe(self.writer.take_digest)
-        self.fleet.lost.subscribe(self.state.lose_peer)
+        self.fleet.lost.subscribe(self.state.forget_peer)
         self.fleet.lost.subscribe(self.writer.tell_anew)
         self.is_down = False
         self.next_near = self.next_far = 0.0
@@ -133,7 +133,7 @@
     def take_contents(self, heard: HeardDigest) -> None:
         for news in heard.digest.contents:
             self.contents_heard += 1
-            take_news(self.state.quarantine, news, heard.at)
+            apply_content_update(self.state.quarantine, news, heard.at)
 
     def see_end(self, target: str) -> None:
         """See a target end under a request."""
--- a/packages/daemon/tests/test_progress.py
+++ b/packages/daemon/tests/test_progress.py
@@ -5,14 +5,14 @@
 import pytest
 
 from sardinequay_core.outcome import Outcome, Reason, not_run
-from sardinequay_daemon.progress import Progress, truthful
+from sardinequay_daemon.progress import Progress, with_proven_outcome
 
 REFUSAL = not_run(Reason.LOAD_QUEUE_FULL, "full", timedelta(seconds=1))
 
 
 def test_request_that_was_never_sent_has_not_run() -> None:
     assert Progress().outcome is Outcome.NOT_RUN
-    assert truthful(REFUSAL, Progress()) == REFUSAL
+    assert with_proven_outcome(REFUSAL, Progress()) == REFUSAL
 
 
 @pytest.mark.parametrize("later_proves", [True, False])
@@ -27,7 +27,7 @@
     progress.begin_attempt()
     progress.end_attempt(proves_not_run=later_proves)
     assert progress.outcome is Outcome.UNKNOWN
-    refusal = truthful(REFUSAL, progress)
+    refusal = with_proven_outcome(REFUSAL, progress)
     assert (refusal.outcome, refusal.reason) == (Outcome.UNKNOWN, REFUSAL.reason)
 
 
--- a/packages/daemon/tests/test_content_spread.py
+++ b/packages/daemon/tests/test_quarantine_replicator.py
@@ -19,8 +19,8 @@
 )
 from sardinequay_core.quarantine import Quarantine, TargetEnd
 from sardinequay_core.roster import EntryHost
-from sardinequay_daemon.content_news import take_news
-from sardinequay_daemon.content_spread import ContentSpread
+from sardinequay_daemon.content_updates import apply_content_update
+from sardinequay_daemon.quarantine_replicator import QuarantineReplicator
 from sardinequay_daemon.errors import PeerError
 
 from .conftest import TurnedClock
@@ -59,7 +59,7 @@
 class Net:
     """Brings messages to the other hosts, or loses them."""
 
-    spreads: dict[Address, ContentSpread] = field(default_factory=dict)
+    spreads: dict[Address, QuarantineReplicator] = field(default_factory=dict)
     messages: int = 0
     is_cut: bool = False
 
@@ -75,31 +75,31 @@
     made = Net()
     for number in (1, 2, 3):
         quarantine = Quarantine()
-        spread = ContentSpread(
+        spread = QuarantineReplicator(
             Membership(number), made, quarantine, clock, Random(number)
         )
         spread.heard.subscribe(
             lambda contents, q=quarantine: [
-                take_news(q, news, clock.monotonic()) for news in contents
+                apply_content_update(q, news, clock.monotonic()) for news in contents
             ]
         )
         made.spreads[place(number)] = spread
     return made
 
 
-def see_ends(spread: ContentSpread) -> None:
+def see_ends(spread: QuarantineReplicator) -> None:
     """See two targets end under a content."""
     now = spread.clock.monotonic()
     for number in (1, 2):
         end = TargetEnd(TargetId(f"e{number}"), 0, now)
         spread.quarantine.add(FATAL, end, now)
-    spread.tell_of(FATAL, is_own=True)
+    spread.announce_content(FATAL, is_own=True)
 
 
-async def tell(net: Net, spread: ContentSpread) -> None:
+async def tell(net: Net, spread: QuarantineReplicator) -> None:
     """Let a host tell what it has to, then stop it."""
-    task = asyncio.create_task(spread.tell_on())
-    while spread.has_untold.is_set() or not net.messages:
+    task = asyncio.create_task(spread.send_updates())
+    while spread.has_unsent.is_set() or not net.messages:
         await asyncio.sleep(0.005)
     await asyncio.gather(*spread.telling)
     task.cancel()
@@ -116,8 +116,8 @@
 
 
 async def test_what_a_host_heard_is_not_told_again(net) -> None:
-    net.spreads[place(2)].tell_of(FATAL, is_own=False)
-    assert not net.spreads[place(2)].has_untold.is_set()
+    net.spreads[place(2)].announce_content(FATAL, is_own=False)
+    assert not net.spreads[place(2)].has_unsent.is_set()
 
 
 async def test_host_that_missed_it_asks(net) -> None:
@@ -126,11 +126,11 @@
     see_ends(first)
     await tell(net, first)
     assert not second.quarantine.is_suspect(FATAL)
-    await second.ask_one()
+    await second.pull_from_peer()
     net.is_cut = False
     for asking in (second, far):
         while not asking.quarantine.is_suspect(FATAL):
-            await asking.ask_one()
+            await asking.pull_from_peer()
 
 
 async def test_hosts_of_a_data_centre_know_who_gives_permits(net) -> None:
--- a/packages/daemon/tests/test_end_watch.py
+++ b/packages/daemon/tests/test_target_end_detector.py
@@ -16,14 +16,14 @@
 )
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_daemon.connection_probe import ConnectionProbe
-from sardinequay_daemon.end_watch import SHOWS_WITHIN, BrokenRequest, EndWatch
-from sardinequay_daemon.target_probe import Sign, TargetProbe
+from sardinequay_daemon.target_end_detector import RESTART_VISIBLE_WITHIN, InterruptedRequest, TargetEndDetector
+from sardinequay_daemon.target_probe import ProbeResult, TargetProbe
 from sardinequay_lab.ports import free_port
 
 IP = "127.0.0.1"
 
 
-def broken(content: str) -> BrokenRequest:
+def broken(content: str) -> InterruptedRequest:
     target = Target(
         TargetId("e1"),
         PoolName("lm"),
@@ -31,7 +31,7 @@
         DataCentre("za"),
         Address(IP, 1),
     )
-    return BrokenRequest("r1", ContentId(content), target, 7, 0.1)
+    return InterruptedRequest("r1", ContentId(content), target, 7, 0.1)
 
 
 class Asked:
@@ -63,21 +63,21 @@
 
 
 @pytest.fixture
-def watch(asked: Asked, live: set[TargetId], ended: list[PoolName]) -> EndWatch:
-    return EndWatch(asked.lives, live.__contains__, ended.append)
+def watch(asked: Asked, live: set[TargetId], ended: list[PoolName]) -> TargetEndDetector:
+    return TargetEndDetector(asked.lives, live.__contains__, ended.append)
 
 
 async def test_target_that_takes_no_connection_has_ended(watch) -> None:
-    assert await watch.ended_under(broken("c1"))
+    assert await watch.has_ended_during(broken("c1"))
 
 
 async def test_target_that_lives_gave_up_one_answer(watch, asked) -> None:
     asked.is_up = True
-    assert not await watch.ended_under(broken("c1"))
+    assert not await watch.has_ended_during(broken("c1"))
 
 
 async def test_one_question_serves_all_that_broke_at_once(watch, asked, ended) -> None:
-    found = await asyncio.gather(*(watch.ended_under(broken(c)) for c in "abc"))
+    found = await asyncio.gather(*(watch.has_ended_during(broken(c)) for c in "abc"))
     assert found == [True, True, True]
     assert asked.count == 1
     assert ended == [PoolName("lm")]
@@ -85,7 +85,7 @@
 
 async def test_target_that_leaves_ends_by_plan(watch, asked, live) -> None:
     live.clear()
-    assert not await watch.ended_under(broken("c1"))
+    assert not await watch.has_ended_during(broken("c1"))
     assert asked.count == 0
 
 
@@ -109,10 +109,10 @@
 class Shows:
     """Shows a sign."""
 
-    def __init__(self, sign: Sign) -> None:
+    def __init__(self, sign: ProbeResult) -> None:
         self.sign = sign
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> Sign:
+    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         return self.sign
 
 
@@ -123,14 +123,14 @@
 @pytest.mark.parametrize(
     ("sign", "is_busy", "lives"),
     [
-        (Sign.SOUND, False, True),
-        (Sign.SOUND, True, True),
-        (Sign.ANOTHER_START, True, False),
-        (Sign.FAILING, True, False),
-        (Sign.REFUSING, False, False),
-        (Sign.REFUSING, True, True),
-        (Sign.SILENT, False, False),
-        (Sign.SILENT, True, True),
+        (ProbeResult.SOUND, False, True),
+        (ProbeResult.SOUND, True, True),
+        (ProbeResult.ANOTHER_START, True, False),
+        (ProbeResult.FAILING, True, False),
+        (ProbeResult.REFUSING, False, False),
+        (ProbeResult.REFUSING, True, True),
+        (ProbeResult.SILENT, False, False),
+        (ProbeResult.SILENT, True, True),
     ],
 )
 async def test_what_a_target_shows_is_weighed(sign, is_busy, lives) -> None:
@@ -158,13 +158,13 @@
 ) -> None:
     asked.is_up = True
     sent = replace(broken("c"), at=seconds(10))
-    assert not await watch.ended_under(sent)
-    assert len(watch.shown_by(catalogue, seconds(11))) == shown
-    assert not watch.shown_by(catalogue, seconds(11))
+    assert not await watch.has_ended_during(sent)
+    assert len(watch.find_restarted(catalogue, seconds(11))) == shown
+    assert not watch.find_restarted(catalogue, seconds(11))
 
 
 async def test_start_long_after_a_broken_answer_shows_nothing(watch, asked) -> None:
     asked.is_up = True
-    await watch.ended_under(replace(broken("c"), at=seconds(10)))
-    late = seconds(10.1) + SHOWS_WITHIN
-    assert not watch.shown_by(listed("e1", 8), late)
+    await watch.has_ended_during(replace(broken("c"), at=seconds(10)))
+    late = seconds(10.1) + RESTART_VISIBLE_WITHIN
+    assert not watch.find_restarted(listed("e1", 8), late)
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -41,15 +41,15 @@
     Share,
     make_config,
 )
-from sardinequay_daemon.attempt import RelayParts
+from sardinequay_daemon.attempt import RelayDependencies
 from sardinequay_daemon.exchange import Exchange
 from sardinequay_daemon.guarded_run import GuardedRun
-from sardinequay_daemon.progress import Refused
+from sardinequay_daemon.progress import RequestRefusedError
 from sardinequay_daemon.relay_state import Keeper, RelayState
 from sardinequay_daemon.serving_messages import WantAdapter, WantReply
 from sardinequay_daemon.serving_metrics import ServingMetrics
 from sardinequay_daemon.serving_ports import RequestTerms
-from sardinequay_daemon.target_picker import MAX_FAILED_ASKS, TargetPicker
+from sardinequay_daemon.target_picker import MAX_FAILED_LOAD_REQUESTS, TargetPicker
 
 from .conftest import TurnedClock
 
@@ -129,7 +129,7 @@
 @pytest.fixture
 def picker(state: RelayState, board: Board) -> TargetPicker:
     metrics = ServingMetrics("h1", "za")
-    return TargetPicker(RelayParts(state, None, None, board, metrics, None))
+    return TargetPicker(RelayDependencies(state, None, None, board, metrics, None))
 
 
 FOUR_SECONDS = seconds(4)
@@ -165,10 +165,10 @@
 
 async def test_wishes_that_fail_are_asked_a_few_times_only(picker, board, clock):
     board.reply = WantReply(False, "no answer")
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestRefusedError) as refused:
         await picker.choose(exchange(clock, "a9"))
     refusal = refused.value.refusal
-    assert len(board.asked) <= MAX_FAILED_ASKS
+    assert len(board.asked) <= MAX_FAILED_LOAD_REQUESTS
     assert refusal.outcome is Outcome.NOT_RUN
     assert refusal.retry_after is not None
 
@@ -177,7 +177,7 @@
     picker, board, clock
 ):
     board.reply = WantReply(False, "expected too late", 9.0)
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestRefusedError) as refused:
         await picker.choose(exchange(clock, "a9"))
     refusal = refused.value.refusal
     assert refusal.reason is Reason.OVERLOADED
@@ -189,7 +189,7 @@
     picker, state, clock, monkeypatch
 ):
     monkeypatch.setattr(RelayState, "keepers", lambda self, places: {})
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestRefusedError) as refused:
         await picker.choose(exchange(clock, "a9"))
     assert refused.value.refusal.reason is Reason.NO_TARGET
     assert refused.value.refusal.retry_after >= seconds(2)
@@ -202,7 +202,7 @@
     )
     chosen = await picker.choose(exchange(clock, "a9"))
     assert chosen is not None
-    with pytest.raises(Refused):
+    with pytest.raises(RequestRefusedError):
         await picker.choose(exchange(clock, "a8", seconds(1)))
 
 
@@ -218,7 +218,7 @@
     published = other.published
     lacking = TargetPublished(replace(published, models=frozenset({"n"})))
     state.take_catalogue(catalogue_of(lacking))
-    with pytest.raises(Refused):
+    with pytest.raises(RequestRefusedError):
         await picker.choose(exchange(clock, "a9"))
     assert board.asked == []
 
@@ -236,7 +236,7 @@
 
 async def test_request_that_waits_stays_where_it_is_next(picker, board, clock):
     queued = WantReply(False, "queued", 0.05, is_queued=True)
-    board.replies = [queued] * (MAX_FAILED_ASKS + 1)
+    board.replies = [queued] * (MAX_FAILED_LOAD_REQUESTS + 1)
     await picker.choose(exchange(clock, "a9"))
     assert len({ask.target for ask in board.asked}) == 1
 
@@ -245,7 +245,7 @@
     picker, board, clock
 ):
     board.replies = [WantReply(False, "queued", 30.0, is_queued=True)] * 3
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RequestRefusedError) as refused:
         await picker.choose(exchange(clock, "a9"))
     assert refused.value.refusal.reason is Reason.OVERLOADED
     assert len(board.asked) == 3
