--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -33,7 +33,7 @@
 from .target_end_detector import InterruptedRequest, TargetEndDetector
 from .guarded_run import GuardedRun
 from .peers import PeerCaller
-from .progress import RequestRefusedError, may_have_run
+from .progress import RequestRefusedError, answer_lost_refusal
 
 PERMIT_CALL_TIMEOUT_S = 0.25
 """Bound on asking for a permit; hosts of a region answer in a few milliseconds."""
@@ -42,7 +42,7 @@
 """How long another attempt waits at most to know whether the last target ended, in
 seconds: longer than the question takes."""
 
-LOOK_AGAIN_S = 0.05
+PERMIT_POLL_S = 0.05
 """How often a request asks for a permit that another run has: about what a plain
 request runs for."""
 
@@ -77,7 +77,7 @@
     hold_s: float
 
 
-class Fleet(Protocol):
+class GuardPeers(Protocol):
     """What the guard needs of the other hosts."""
 
     def known_to_all(self) -> list[HostId]:
@@ -97,19 +97,19 @@
         self,
         me: HostId,
         quarantine: Quarantine,
-        ends: TargetEndDetector,
-        fleet: Fleet,
+        end_detector: TargetEndDetector,
+        fleet: GuardPeers,
         peers: PeerCaller,
         clock: Clock,
     ) -> None:
         self.me = me
         self.quarantine = quarantine
-        self.ends = ends
+        self.end_detector = end_detector
         self.fleet = fleet
         self.peers = peers
         self.clock = clock
         self.permits = PermitBook()
-        self.numbers = itertools.count()
+        self.run_numbers = itertools.count()
         self.tasks: set[asyncio.Task[Any]] = set()
 
     # A request on its way.
@@ -121,7 +121,7 @@
         if not left:
             return
         if run.may_have_run:
-            raise RequestRefusedError(may_have_run())
+            raise RequestRefusedError(answer_lost_refusal())
         ends = self.quarantine.ends(run.content)
         age_s = (now - ends[-1].at).total_seconds()
         text = f"{len(ends)} targets ended under such requests, one {age_s:.1f} s ago"
@@ -138,25 +138,25 @@
         content = run.content
         if not self.quarantine.is_suspect(content) or run.permit:
             return True
-        permit = f"{self.me}/{next(self.numbers)}"
+        permit = f"{self.me}/{next(self.run_numbers)}"
         if await self.is_permitted(permit, content):
             run.permit = permit
             # What the giver knows may be news here.
             return not self.quarantine.hold_left(content, self.clock.monotonic())
         run.permit_waits += 1
-        if run.permit_waits * LOOK_AGAIN_S > MAX_PERMIT_WAIT_S:
+        if run.permit_waits * PERMIT_POLL_S > MAX_PERMIT_WAIT_S:
             raise RequestRefusedError(self.not_permitted_refusal(run))
-        await asyncio.sleep(LOOK_AGAIN_S)
+        await asyncio.sleep(PERMIT_POLL_S)
         return False
 
     def not_permitted_refusal(self, run: GuardedRun) -> Refusal:
         """Return the refusal of a request that waited for another like it."""
         if run.may_have_run:
-            return may_have_run()
+            return answer_lost_refusal()
         text = "a target ended under a request like it, and another like it runs now"
         return not_run(Reason.QUARANTINED, text, PERMIT_RETRY)
 
-    async def settled(self, run: GuardedRun, within_s: float) -> bool:
+    async def wait_for_verdict(self, run: GuardedRun, within_s: float) -> bool:
         """Wait until it is known whether the last target ended under a request.
 
         Returns
@@ -178,35 +178,35 @@
         broken = InterruptedRequest(
             run.request_id, run.content, target, incarnation, ran_s, now
         )
-        run.verdict = self.start(self.learn(broken))
+        run.verdict = self.start_task(self.check_target_end(broken))
 
-    async def learn(self, broken: InterruptedRequest) -> bool:
+    async def check_target_end(self, broken: InterruptedRequest) -> bool:
         """Find out whether the target ended, and count that against the content."""
-        has_ended = await self.ends.has_ended_during(broken)
+        has_ended = await self.end_detector.has_ended_during(broken)
         if has_ended:
-            self.count(broken)
+            self.record_target_end(broken)
         return has_ended
 
-    def take_catalogue(self, catalogue: Catalogue) -> None:
+    def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Count ends of targets that show by their later starts."""
-        for broken in self.ends.find_restarted(catalogue, self.clock.monotonic()):
-            self.count(broken)
+        for broken in self.end_detector.find_restarted(catalogue, self.clock.monotonic()):
+            self.record_target_end(broken)
 
-    def count(self, broken: InterruptedRequest) -> None:
+    def record_target_end(self, broken: InterruptedRequest) -> None:
         """Count a target's end against the content of a request that was there."""
         now = self.clock.monotonic()
         end = TargetEnd(broken.target.target_id, broken.incarnation, now)
         if self.quarantine.add(broken.content, end, now):
-            self.changed(broken.content, is_own=True)
+            self.publish_change(broken.content, is_own=True)
 
-    def answered(self, content: ContentId) -> None:
+    def record_answer(self, content: ContentId) -> None:
         """Take that a request was answered: it ends no target."""
         now = self.clock.monotonic()
         if self.quarantine.clear(content, now, now):
             log.info("content cleared", extra={"content": content})
             self.fleet.announce_content(content, is_own=True)
 
-    def lift(self, content: ContentId) -> bool:
+    def lift_quarantine(self, content: ContentId) -> bool:
         """Let a content go at an operator's word; return whether it was suspect."""
         now = self.clock.monotonic()
         is_known = self.quarantine.clear(content, now, now)
@@ -215,36 +215,36 @@
             self.fleet.announce_content(content, is_own=True)
         return is_known
 
-    def leave(self, run: GuardedRun) -> None:
+    def release_permit(self, run: GuardedRun) -> None:
         """Give a request's permit back once it is known what the run did."""
         if run.permit:
-            self.start(self.give_back(run))
+            self.start_task(self.return_permit(run))
 
     # Permits.
 
-    def giver(self, content: ContentId) -> HostId:
+    def permit_issuer(self, content: ContentId) -> HostId:
         """Return the host that gives a content's permits: the same for all hosts."""
         return HostId(rank(content, self.fleet.known_to_all())[0])
 
     async def is_permitted(self, permit: str, content: ContentId) -> bool:
         """Ask for the permit to run."""
         now = self.clock.monotonic()
-        giver = self.giver(content)
-        address = self.fleet.address_of(giver)
-        if giver == self.me or address is None:
+        issuer = self.permit_issuer(content)
+        address = self.fleet.address_of(issuer)
+        if issuer == self.me or address is None:
             return self.permits.grant(content, permit, now)
         ask = AskPermit(permit, content_update(self.quarantine, content, now))
         answer = await self.peers.call(address, ask, PERMIT_CALL_TIMEOUT_S)
         reply = answer.value_or(None)
         if not isinstance(reply, PermitReply):
-            log.warning("no permit giver", extra={"content": content, "peer": giver})
+            log.warning("no permit giver", extra={"content": content, "peer": issuer})
             return self.permits.grant(content, permit, now)
-        self.hear(reply.news)
+        self.apply_update(reply.news)
         return reply.is_granted
 
     async def handle_ask_permit(self, ask: AskPermit) -> PermitReply:
         """Give a permit, unless another run has it or the content is held."""
-        self.hear(ask.news)
+        self.apply_update(ask.news)
         content = ask.news.content
         now = self.clock.monotonic()
         is_granted = not self.quarantine.hold_left(content, now) and self.permits.grant(
@@ -252,38 +252,38 @@
         )
         return PermitReply(is_granted, content_update(self.quarantine, content, now))
 
-    async def give_back(self, run: GuardedRun) -> None:
+    async def return_permit(self, run: GuardedRun) -> None:
         """Give a permit back, with what the run showed."""
         if run.verdict is not None:
             await asyncio.wait((run.verdict,))
         content, permit = run.content, run.permit
         self.permits.give_back(content, permit)
-        giver = self.giver(content)
-        address = self.fleet.address_of(giver)
-        if giver != self.me and address is not None:
+        issuer = self.permit_issuer(content)
+        address = self.fleet.address_of(issuer)
+        if issuer != self.me and address is not None:
             now = self.clock.monotonic()
             back = PermitBack(permit, content_update(self.quarantine, content, now))
             await self.peers.call(address, back, PERMIT_CALL_TIMEOUT_S)
 
     async def handle_permit_back(self, back: PermitBack) -> ContentsReply:
         """Take a permit back."""
-        self.hear(back.news)
+        self.apply_update(back.news)
         self.permits.give_back(back.news.content, back.run)
         return ContentsReply(())
 
     # News.
 
-    def take(self, contents: Iterable[ContentNews]) -> None:
+    def apply_updates(self, contents: Iterable[ContentNews]) -> None:
         """Take what a peer knows against contents."""
         for news in contents:
-            self.hear(news)
+            self.apply_update(news)
 
-    def hear(self, news: ContentNews) -> None:
+    def apply_update(self, news: ContentNews) -> None:
         """Take what a peer knows against a content."""
         if apply_content_update(self.quarantine, news, self.clock.monotonic()):
-            self.changed(news.content, is_own=False)
+            self.publish_change(news.content, is_own=False)
 
-    def changed(self, content: ContentId, is_own: bool) -> None:
+    def publish_change(self, content: ContentId, is_own: bool) -> None:
         """Log a content that is held from now on, and have peers told."""
         now = self.clock.monotonic()
         left = self.quarantine.hold_left(content, now)
@@ -294,7 +294,7 @@
 
     # For operators.
 
-    def held(self) -> list[HeldContent]:
+    def held_contents(self) -> list[HeldContent]:
         """Return the contents that are held."""
         now = self.clock.monotonic()
         return [self.describe_held_content(c, now) for c in self.quarantine.held(now)]
@@ -312,7 +312,7 @@
 
     # Upkeep.
 
-    def start(self, work: Coroutine[None, None, Result]) -> asyncio.Task[Result]:
+    def start_task(self, work: Coroutine[None, None, Result]) -> asyncio.Task[Result]:
         """Start work that nobody waits for."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -133,9 +133,9 @@
                 async with aclosing(attempts) as events:
                     async for part in events:
                         yield part
-                self.guard.answered(run.content)
+                self.guard.record_answer(run.content)
             finally:
-                self.guard.leave(run)
+                self.guard.release_permit(run)
 
     async def attempts(
         self, request: ModelRequest, progress: Progress, span: Span, run: GuardedRun
@@ -146,7 +146,7 @@
         while True:
             # An engine's end also counts against the request, which would else end one
             # engine after the other.
-            await self.guard.settled(run, MAX_PROBE_WAIT_S)
+            await self.guard.wait_for_verdict(run, MAX_PROBE_WAIT_S)
             self.guard.refuse_if_held(run)
             use = await self.obtain(request, span)
             if not await self.guard.may_run(run):
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -178,7 +178,7 @@
             self.metrics,
             self.journal,
             self.refresh_metrics,
-            self.content_guard.lift,
+            self.content_guard.lift_quarantine,
         )
         self.connect()
         self.register()
@@ -239,7 +239,7 @@
             self.peers,
             self.clock,
         )
-        self.spread.heard.subscribe(guard.take)
+        self.spread.heard.subscribe(guard.apply_updates)
         return guard
 
     def make_callers(
@@ -372,7 +372,7 @@
             members=self.membership.health_of(),
             guard_views=self.guard.views(),
             resident=self.keeper.summary(),
-            quarantined=self.content_guard.held(),
+            quarantined=self.content_guard.held_contents(),
         )
 
     async def expire_contents(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/progress.py
+++ b/packages/daemon/src/sardinequay_daemon/progress.py
@@ -71,7 +71,7 @@
     return Refusal(Reason.DEADLINE_EXPIRED, progress.outcome, text)
 
 
-def may_have_run() -> Refusal:
+def answer_lost_refusal() -> Refusal:
     """Return the end of a request that was sent and of which no answer came."""
     text = "the target's answer was lost; it may have run the request"
     return Refusal(Reason.TARGET_FAILED, Outcome.UNKNOWN, text)
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -15,7 +15,7 @@
 from .content_guard import ContentGuard
 from .errors import TargetError, TargetFault
 from .exchange import AnswerCutOffError, Exchange, AnswerSink
-from .progress import RequestRefusedError, may_have_run
+from .progress import RequestRefusedError, answer_lost_refusal
 from .target_picker import NO_TARGET_RETRY, TargetPicker, come_back
 
 log = logging.getLogger(__name__)
@@ -46,7 +46,7 @@
             await self.attempt_all(exchange, sink)
         finally:
             exchange.end_repeat(self.clock.monotonic())
-            self.guard.leave(exchange.guarded)
+            self.guard.release_permit(exchange.guarded)
 
     async def attempt_all(self, exchange: Exchange, sink: AnswerSink) -> None:
         """Try one target after another until one has answered."""
@@ -83,7 +83,7 @@
         exchange = lost.exchange
         exchange.guarded.may_have_run = True
         left_s = exchange.left(self.clock.monotonic()).total_seconds()
-        if not await self.guard.settled(exchange.guarded, left_s):
+        if not await self.guard.wait_for_verdict(exchange.guarded, left_s):
             lost.judge(Verdict.FAILED)
             return AttemptEnd.MAY_HAVE_RUN
         if not await self.guard.may_run(exchange.guarded):
@@ -101,9 +101,9 @@
     async def settled(self, exchange: Exchange) -> None:
         """Wait until it is known whether the last target ended under a request."""
         left_s = exchange.left(self.clock.monotonic()).total_seconds()
-        await self.guard.settled(exchange.guarded, left_s)
+        await self.guard.wait_for_verdict(exchange.guarded, left_s)
         if exchange.so_far.runs and exchange.left(self.clock.monotonic()) <= ZERO:
-            raise RequestRefusedError(may_have_run())
+            raise RequestRefusedError(answer_lost_refusal())
 
     async def follow(self, exchange: Exchange, end: AttemptEnd) -> None:
         """Permit another attempt by returning, or raise the request's end."""
@@ -163,7 +163,7 @@
     def final_refusal(self, step: Next, within_budget: bool) -> Refusal:
         """Return the answer to a request whose attempts are over."""
         if step is Next.GIVE_UP_MAY_HAVE_RUN:
-            return may_have_run()
+            return answer_lost_refusal()
         text = "no target took the request"
         if not within_budget:
             text += ", and the budget for further attempts is spent"
@@ -189,7 +189,7 @@
             attempt.leave()
             exchange.end_repeat(self.clock.monotonic())
         if attempt.was_served:
-            self.guard.answered(exchange.guarded.content)
+            self.guard.record_answer(exchange.guarded.content)
         result = end.value if end else "answered"
         self.parts.metrics.attempts.inc({"pool": exchange.pool, "result": result})
         return end
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -220,7 +220,7 @@
             self.answer = await self.attempt_all()
         except BaseException:
             self.settle(ran=False)
-            self.forwarder.guard.leave(self.run)
+            self.forwarder.guard.release_permit(self.run)
             raise
         self.progress.last_event = 1
         return self.answer
@@ -235,10 +235,10 @@
         self.forwarder.count(self.target, -1)
         self.answer.release() if error is None else self.answer.close()
         if error is None:
-            self.forwarder.guard.answered(self.run.content)
+            self.forwarder.guard.record_answer(self.run.content)
         elif isinstance(error, BROKEN_ERRORS):
             self.forwarder.guard.handle_broken_connection(self.run, self.target, 0, self.ran_s())
-        self.forwarder.guard.leave(self.run)
+        self.forwarder.guard.release_permit(self.run)
         if isinstance(error, BROKEN_ERRORS):
             text = f"the answer was cut off: {error!r}"
             lost = Refusal(Reason.ANSWER_LOST, Outcome.RAN, text)
@@ -259,7 +259,7 @@
         while True:
             # A target's end also counts against the request, which would else end one
             # target after the other.
-            await guard.settled(run, MAX_PROBE_WAIT_S)
+            await guard.wait_for_verdict(run, MAX_PROBE_WAIT_S)
             guard.refuse_if_held(run)
             target = forwarder.choose(request)
             if not await guard.may_run(run):
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -220,7 +220,7 @@
         self.store.catalogues.subscribe(self.state.take_catalogue)
         self.store.catalogues.subscribe(self.orders.take_catalogue)
         self.store.catalogues.subscribe(self.tell_catalogue)
-        self.store.catalogues.subscribe(self.guard.take_catalogue)
+        self.store.catalogues.subscribe(self.guard.apply_catalogue)
         self.fleet.digests.subscribe(self.state.take_digest)
         self.fleet.digests.subscribe(self.take_contents)
         self.fleet.digests.subscribe(self.writer.take_digest)
@@ -269,7 +269,7 @@
 
     def take_contents(self, heard: HeardDigest) -> None:
         """Take what a peer knows against contents of requests."""
-        self.guard.take(heard.digest.contents)
+        self.guard.apply_updates(heard.digest.contents)
 
     def take_digest(self, heard: HeardDigest) -> None:
         """Fetch what a peer knows of the store and this host does not."""
@@ -348,7 +348,7 @@
             )
             await self.serve_http(ready, profile.readiness)
             metrics = web.AppRunner(
-                pages_app(self.metrics.registry, self.status, self.guard.lift),
+                pages_app(self.metrics.registry, self.status, self.guard.lift_quarantine),
                 access_log=None,
             )
             await self.serve_http(metrics, profile.metrics)
@@ -387,7 +387,7 @@
             "live_hosts": self.fleet.live_hosts,
             "orders_engines": self.lease.is_holder,
             "in_flight": self.server.in_flight,
-            "quarantined": [asdict(held) for held in self.guard.held()],
+            "quarantined": [asdict(held) for held in self.guard.held_contents()],
             "peers": sorted(p.contact.host_id for p in self.fleet.alive()),
             "targets": {
                 t: p.target.presence.value for t, p in catalogue.targets.items()
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -21,7 +21,7 @@
 
 from .attempt import RelayDependencies
 from .exchange import Exchange
-from .progress import RequestRefusedError, may_have_run
+from .progress import RequestRefusedError, answer_lost_refusal
 from .serving_messages import WantAdapter, WantReply
 from .target_options import TargetOptions
 
@@ -105,7 +105,7 @@
         if min(asked, default=MAX_REJECTIONS_PER_TARGET) < MAX_REJECTIONS_PER_TARGET:
             return SAME_TARGET_PAUSE_S
         if exchange.so_far.runs:
-            raise RequestRefusedError(may_have_run())
+            raise RequestRefusedError(answer_lost_refusal())
         text = "each target of the pool has rejected the request"
         wait = come_back(self.state.random, NO_TARGET_RETRY)
         raise RequestRefusedError(not_run(Reason.TARGET_REFUSED, text, wait))
@@ -113,7 +113,7 @@
     def no_target(self, exchange: Exchange) -> Refusal:
         """Return the refusal of a request for which there is no target."""
         if exchange.so_far.runs:
-            return may_have_run()
+            return answer_lost_refusal()
         text = "no target of the pool is live"
         return not_run(
             Reason.NO_TARGET, text, come_back(self.state.random, NO_TARGET_RETRY)
@@ -163,7 +163,7 @@
     ) -> Refusal:
         """Return the refusal of a request that no engine can begin in time."""
         if exchange.so_far.runs:
-            return may_have_run()
+            return answer_lost_refusal()
         if isinstance(choice, TooBusy):
             text = f"no engine can begin within {left_s:.2f} s"
             wait = come_back(self.state.random, seconds(choice.wait_s))
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -98,12 +98,12 @@
     """Let a target end under a request, and the host learn of it."""
     sent = run()
     guard.handle_broken_connection(sent, target(name), 1, 0.1)
-    await guard.settled(sent, 5.0)
+    await guard.wait_for_verdict(sent, 5.0)
 
 
 def given(net: Net) -> ContentGuard:
     """Return the guard that gives the permits of the content."""
-    return net.guards[HOSTS.index(net.guards[0].giver(FATAL))]
+    return net.guards[HOSTS.index(net.guards[0].permit_issuer(FATAL))]
 
 
 def others(net: Net) -> list[ContentGuard]:
@@ -144,7 +144,7 @@
 
 async def test_target_that_lives_counts_against_nobody(net, clock) -> None:
     guard = net.guards[0]
-    guard.ends.has_ended = False
+    guard.end_detector.has_ended = False
     await ended(guard, "e1")
     assert not guard.quarantine.is_suspect(FATAL)
 
@@ -156,7 +156,7 @@
     permitted = [await g.may_run(e) for g, e in zip(net.guards, sent, strict=True)]
     assert sum(permitted) == 1
     first = permitted.index(True)
-    net.guards[first].leave(sent[first])
+    net.guards[first].release_permit(sent[first])
     await asyncio.gather(*net.guards[first].tasks)
     assert await net.guards[(first + 1) % len(HOSTS)].may_run(run())
 
@@ -181,7 +181,7 @@
     sent = run()
     assert await guard.may_run(sent)
     guard.handle_broken_connection(sent, target("e2"), 1, 0.1)
-    guard.leave(sent)
+    guard.release_permit(sent)
     while guard.tasks:
         await asyncio.gather(*guard.tasks)
     # The next host has not heard of the second end: the giver tells it.
@@ -203,8 +203,8 @@
     for g in (guard, other):
         g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
     clock.turn(1)
-    guard.answered(FATAL)
-    other.hear(content_update(guard.quarantine, FATAL, clock.monotonic()))
+    guard.record_answer(FATAL)
+    other.apply_update(content_update(guard.quarantine, FATAL, clock.monotonic()))
     assert not other.quarantine.is_suspect(FATAL)
 
 
@@ -213,7 +213,7 @@
     for name in ("e1", "e2"):
         await ended(guard, name)
     clock.turn(1)
-    assert guard.lift(FATAL)
+    assert guard.lift_quarantine(FATAL)
     guard.refuse_if_held(run())
 
 
@@ -221,7 +221,7 @@
     guard, other = net.guards[:2]
     for name in ("e1", "e2"):
         await ended(guard, name)
-    other.hear(content_update(guard.quarantine, FATAL, clock.monotonic()))
+    other.apply_update(content_update(guard.quarantine, FATAL, clock.monotonic()))
     with pytest.raises(RequestRefusedError):
         other.refuse_if_held(run())
 
