--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -13,7 +13,7 @@
 from sardinequay_core.target_health import Verdict
 
 from .errors import TargetError, TargetFault
-from .exchange import AnswerHead, Exchange, AnswerSink
+from .exchange import AnswerHead, RelayExchange, AnswerSink
 from .relay_state import RelayState
 from .server_sent_events import EventSplitter
 from .serving_metrics import ServingMetrics
@@ -39,7 +39,7 @@
     state: RelayState
     dialect: HttpDialect
     upstream: Upstream
-    wants: LoadRequestClient
+    load_requests: LoadRequestClient
     metrics: ServingMetrics
     tracing: Tracing
 
@@ -56,7 +56,7 @@
     def __init__(
         self,
         parts: RelayDependencies,
-        exchange: Exchange,
+        exchange: RelayExchange,
         published: PublishedTarget,
         is_resend: bool = False,
     ) -> None:
@@ -81,10 +81,10 @@
         """Return the adapter as the target holds it."""
         if not self.exchange.terms.adapter:
             return None
-        wanted = self.state.wanted(self.exchange.terms)
+        wanted = self.state.required_adapter(self.exchange.terms)
         return self.state.residency.resident(self.published, wanted) or wanted
 
-    def enter(self) -> None:
+    def begin_accounting(self) -> None:
         """Count the attempt in."""
         loads = self.state.loads
         now = self.clock.monotonic()
@@ -92,33 +92,33 @@
         self.usual_s = loads.usual_s(self.target_id, self.tokens, now)
         loads.begin(self.target_id, self.tokens)
         if not self.tokens:
-            self.first_event()
+            self.record_first_event()
         if self.adapter is not None:
             count = self.state.uses.change(self.target_id, self.adapter, 1)
-            self.parts.wants.report_use(self.target_id, self.adapter, count)
+            self.parts.load_requests.report_use(self.target_id, self.adapter, count)
         self.state.health.sent(self.target_id)
 
-    def leave(self) -> None:
+    def end_accounting(self) -> None:
         """Count the attempt out."""
         self.state.loads.end(self.target_id, self.tokens, self.has_first_event)
         self.state.health.left(self.target_id)
         if self.adapter is not None and self.is_same_incarnation():
             count = self.state.uses.change(self.target_id, self.adapter, -1)
             if not count:
-                self.parts.wants.report_use(self.target_id, self.adapter, count)
+                self.parts.load_requests.report_use(self.target_id, self.adapter, count)
 
     def is_same_incarnation(self) -> bool:
         """Return whether the target has not started again since it was chosen."""
         now = self.state.catalogue.targets.get(self.target_id)
         return now is None or now.incarnation == self.published.incarnation
 
-    def first_event(self) -> None:
+    def record_first_event(self) -> None:
         """Count the prompt as read."""
         if not self.has_first_event:
             self.has_first_event = True
             self.state.loads.first_event(self.target_id, self.tokens)
 
-    def judge(self, verdict: Verdict) -> None:
+    def record_verdict(self, verdict: Verdict) -> None:
         """Let the attempt's end count for or against the target."""
         is_out = self.state.health.judge(
             self.target_id, verdict, self.sent_at, self.clock.monotonic()
@@ -134,7 +134,7 @@
                 },
             )
 
-    def outgoing(self) -> UpstreamRequest:
+    def build_request(self) -> UpstreamRequest:
         """Return the request as it goes to the target."""
         exchange = self.exchange
         version = ""
@@ -160,12 +160,12 @@
             exchange.route.repetition.may_run_again and not self.is_resend,
         )
 
-    def patience_s(self) -> float:
+    def head_timeout_s(self) -> float:
         """Return how long to wait for the answer's head, in seconds."""
         exchange = self.exchange
-        left_s = max(0.001, exchange.left(self.clock.monotonic()).total_seconds())
+        left_s = max(0.001, exchange.time_left(self.clock.monotonic()).total_seconds())
         route = exchange.route
-        can_repeat = exchange.so_far.runs + 1 < route.max_runs
+        can_repeat = exchange.attempts_so_far.runs + 1 < route.max_runs
         if not (route.repetition.may_run_again and can_repeat):
             return left_s
         goal_s = route.goal.total_seconds()
@@ -173,13 +173,13 @@
             return min(left_s, max(HEAD_TIMEOUT_GOALS * goal_s, self.expected_s * 2))
         return min(left_s, max(MIN_HEAD_TIMEOUT_S, HEAD_TIMEOUT_GOALS * goal_s))
 
-    async def run(self, sink: AnswerSink) -> AttemptEnd | None:
+    async def execute(self, sink: AnswerSink) -> AttemptEnd | None:
         """Send, and pass the answer on."""
         upstream = self.parts.upstream
-        request = self.outgoing()
+        request = self.build_request()
         address = self.target.address
         async with upstream.send(
-            address, request, self.patience_s(), self.note_send
+            address, request, self.head_timeout_s(), self.count_send
         ) as answer:
             self.exchange.end_repeat(self.clock.monotonic())
             facts = self.parts.dialect.facts(answer.status, answer.headers)
@@ -187,26 +187,26 @@
                 detail = f"an answer to {facts.request_id!r}"
                 raise TargetError(TargetFault.BROKEN, detail)
             if facts.not_run:
-                return self.rejected(answer.status, facts)
-            return await self.answered(answer, sink)
+                return self.handle_rejection(answer.status, facts)
+            return await self.forward_answer(answer, sink)
 
-    def note_send(self) -> None:
+    def count_send(self) -> None:
         """Count the request as sent to the target."""
         self.parts.metrics.sends.inc({"pool": self.exchange.pool})
 
-    def rejected(self, status: int, facts: AnswerFacts) -> AttemptEnd:
+    def handle_rejection(self, status: int, facts: AnswerFacts) -> AttemptEnd:
         """Take the target's statement that it has not run the request."""
         exchange = self.exchange
         end = AttemptEnd.REJECTED
         if facts.is_misdirected:
             end = AttemptEnd.MISDIRECTED
             if facts.instance and facts.instance != self.target_id:
-                self.judge(Verdict.GONE)
+                self.record_verdict(Verdict.GONE)
             elif self.adapter is not None and self.is_same_incarnation():
                 self.state.residency.deny(self.published, self.adapter)
-                self.parts.wants.report_missing(self.published, self.adapter)
+                self.parts.load_requests.report_missing(self.published, self.adapter)
         else:
-            self.judge(Verdict.REJECTED)
+            self.record_verdict(Verdict.REJECTED)
         log.info(
             "attempt rejected",
             extra={
@@ -219,68 +219,68 @@
         )
         return end
 
-    def failed(self, error: TargetError) -> AttemptEnd:
+    def handle_failure(self, error: TargetError) -> AttemptEnd:
         """Take a failure on the way."""
         exchange = self.exchange
         end = AttemptEnd.MAY_HAVE_RUN
-        if exchange.has_begun:
+        if exchange.answer_started:
             end = AttemptEnd.BROKEN_OFF
         if error.fault is TargetFault.NOT_SENT:
             end = AttemptEnd.NOT_SENT
-            self.judge(Verdict.UNREACHABLE)
+            self.record_verdict(Verdict.UNREACHABLE)
         elif error.fault is TargetFault.LOST_ON_KEPT:
             # Targets close connections that they kept at any moment: that alone says
             # nothing against one.
             end = AttemptEnd.LOST_ON_KEPT
         elif error.fault is TargetFault.SILENT:
-            self.judge(Verdict.SILENT)
+            self.record_verdict(Verdict.SILENT)
         else:
-            self.judge(Verdict.FAILED)
+            self.record_verdict(Verdict.FAILED)
         log.info(
             "attempt failed",
             extra={
                 "request": exchange.terms.request_id,
                 "target": self.target_id,
-                "content": exchange.guarded.content,
+                "content": exchange.guarded_run.content,
                 "end": end.value,
                 "detail": error.detail,
-                "sent_for_s": round(self.taken_s(), 4),
+                "sent_for_s": round(self.elapsed_s(), 4),
             },
         )
         return end
 
-    def taken_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Return how long the attempt has taken, in seconds."""
         return (self.clock.monotonic() - self.sent_at).total_seconds()
 
-    async def answered(
+    async def forward_answer(
         self, answer: aiohttp.ClientResponse, sink: AnswerSink
     ) -> AttemptEnd | None:
         """Pass an answer on."""
         exchange = self.exchange
         is_failure = answer.status >= SERVER_ERROR
         if is_failure:
-            self.judge(Verdict.FAILED)
-            so_far = exchange.so_far.after(AttemptEnd.MAY_HAVE_RUN)
-            if exchange.has_begun or (
+            self.record_verdict(Verdict.FAILED)
+            so_far = exchange.attempts_so_far.after(AttemptEnd.MAY_HAVE_RUN)
+            if exchange.answer_started or (
                 exchange.route.repetition.may_run_again
                 and so_far.runs < exchange.route.max_runs
             ):
                 return AttemptEnd.MAY_HAVE_RUN
         if exchange.route.repetition.is_stream:
-            await self.stream(answer, sink)
+            await self.forward_stream(answer, sink)
         else:
             await self.forward_body(answer, sink)
         if not is_failure:
             self.was_served = True
-            self.judge(Verdict.GOOD)
+            self.record_verdict(Verdict.GOOD)
         return None
 
-    async def begin(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
+    async def forward_head(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Send the answer's head on, if none was."""
-        if not self.exchange.has_begun:
-            self.exchange.has_begun = True
-            await sink.begin(AnswerHead(answer.status, answer))
+        if not self.exchange.answer_started:
+            self.exchange.answer_started = True
+            await sink.begin_answer(AnswerHead(answer.status, answer))
 
     async def forward_body(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Pass a plain answer on: in one piece if it is small, else as it comes.
@@ -291,52 +291,52 @@
         body = AnswerBody(answer, self.exchange, self.clock)
         held: list[bytes] = []
         size = 0
-        while data := await body.next():
+        while data := await body.read_chunk():
             held.append(data)
             size += len(data)
             if size > MAX_WHOLE_BYTES:
-                await self.begin(answer, sink)
-                await sink.write(b"".join(held))
+                await self.forward_head(answer, sink)
+                await sink.write_body(b"".join(held))
                 held.clear()
-        await self.begin(answer, sink)
-        await sink.write(b"".join(held))
+        await self.forward_head(answer, sink)
+        await sink.write_body(b"".join(held))
 
-    async def stream(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
+    async def forward_stream(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Pass a stream on, event by event."""
         exchange = self.exchange
         cutter = EventSplitter()
         body = AnswerBody(answer, exchange, self.clock)
-        while data := await body.next():
+        while data := await body.read_chunk():
             events = cutter.feed(data)
             if events is None:
                 continue
             if events.last_id:
                 exchange.last_event = str(events.last_id)
             if not self.has_first_event:
-                self.first_event()
+                self.record_first_event()
                 self.record_read_pace()
-            await self.begin(answer, sink)
-            await sink.write(events.data)
-        await self.begin(answer, sink)
-        await sink.write(cutter.rest)
+            await self.forward_head(answer, sink)
+            await sink.write_body(events.data)
+        await self.forward_head(answer, sink)
+        await sink.write_body(cutter.rest)
 
     def record_read_pace(self) -> None:
         """Learn how fast the engine reads from when its first event came."""
         now = self.clock.monotonic()
-        self.state.loads.measured(self.target_id, self.usual_s, self.taken_s(), now)
+        self.state.loads.measured(self.target_id, self.usual_s, self.elapsed_s(), now)
 
 
 class AnswerBody:
     """The bytes of an answer as they come, within the request's time."""
 
     def __init__(
-        self, answer: aiohttp.ClientResponse, exchange: Exchange, clock: Clock
+        self, answer: aiohttp.ClientResponse, exchange: RelayExchange, clock: Clock
     ) -> None:
         self.answer = answer
         self.exchange = exchange
         self.clock = clock
 
-    async def next(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes; none at the end.
 
         Raises
@@ -344,7 +344,7 @@
         TargetError
             If the answer breaks off, or the request's time is over.
         """
-        left_s = self.exchange.left(self.clock.monotonic()).total_seconds()
+        left_s = self.exchange.time_left(self.clock.monotonic()).total_seconds()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
                 with TargetErrorTranslator():
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -122,7 +122,7 @@
         now = self.clock.monotonic()
         host_id = peer.contact.host_id
         here = {p.contact.host_id for p in self.fleet.reporting()}
-        uses = self.state.uses_of(here, peer.contact.data_centre)
+        uses = self.state.summed_uses(here, peer.contact.data_centre)
         return replace(
             digest,
             shares=self.state.loads.sum_of(here, now),
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Exchange:
+class RelayExchange:
     """One request on its way.
 
     Parameters
@@ -59,14 +59,14 @@
     arrived: Instant
     deadline: Instant
     span: Span
-    guarded: GuardedRun
+    guarded_run: GuardedRun
     organisation: Organisation | None = None
-    so_far: AttemptsSoFar = field(default_factory=AttemptsSoFar)
+    attempts_so_far: AttemptsSoFar = field(default_factory=AttemptsSoFar)
     tried: frozenset[TargetId] = frozenset()
     rejections: Counter[TargetId] = field(default_factory=Counter)
     repeat: RepeatBudget | None = None
     last_event: str = ""
-    has_begun: bool = False
+    answer_started: bool = False
 
     @property
     def priority(self) -> int:
@@ -87,7 +87,7 @@
             self.repeat.end(now)
             self.repeat = None
 
-    def left(self, now: Instant) -> timedelta:
+    def time_left(self, now: Instant) -> timedelta:
         """Return the time that is left for an answer of this host's own."""
         return self.deadline - now - ANSWER_MARGIN
 
@@ -97,8 +97,8 @@
 
     def first_event_left_s(self, now: Instant) -> float:
         """Return how long waiting for a first event helps, in seconds."""
-        left_s = self.left(now).total_seconds()
-        if not self.route.repetition.is_stream or self.has_begun:
+        left_s = self.time_left(now).total_seconds()
+        if not self.route.repetition.is_stream or self.answer_started:
             return left_s
         pause = self.route.max_pause
         patience_s = max(
@@ -125,8 +125,8 @@
 class AnswerSink:
     """Where an answer goes: its head first, then its bytes as they come."""
 
-    begin: BeginAnswer
-    write: WriteAnswer
+    begin_answer: BeginAnswer
+    write_body: WriteAnswer
 
 
 class AnswerCutOffError(DaemonError):
--- a/packages/daemon/src/sardinequay_daemon/load_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -28,7 +28,7 @@
     peers: PeerCaller
     report_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    async def ask(self, message: WantAdapter) -> WantReply:
+    async def request_load(self, message: WantAdapter) -> WantReply:
         """Ask whoever orders the engine now."""
         published = self.state.catalogue.targets.get(message.target)
         if published is None:
@@ -56,21 +56,21 @@
         if orders is None or count > 1:
             return
         use = AdapterUse(target, adapter, count)
-        self.tell_soon(target, UseChanged(orders.me, use))
+        self.report_in_background(target, UseChanged(orders.me, use))
 
     def report_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
         """Tell that an engine denies to have an adapter."""
         target = published.target.target_id
         missing = AdapterMissing(target, adapter, published.incarnation)
-        self.tell_soon(target, missing)
+        self.report_in_background(target, missing)
 
-    def tell_soon(self, target: TargetId, message: AdapterMissing | UseChanged) -> None:
+    def report_in_background(self, target: TargetId, message: AdapterMissing | UseChanged) -> None:
         """Tell whoever orders an engine, without waiting for the answer."""
-        task = asyncio.create_task(self.tell(target, message))
+        task = asyncio.create_task(self.send_report(target, message))
         self.report_tasks.add(task)
         task.add_done_callback(self.report_tasks.discard)
 
-    async def tell(
+    async def send_report(
         self, target: TargetId, message: AdapterMissing | UseChanged
     ) -> None:
         """Tell whoever orders an engine."""
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -14,9 +14,9 @@
 from .attempt import Attempt, RelayDependencies
 from .content_guard import ContentGuard
 from .errors import TargetError, TargetFault
-from .exchange import AnswerCutOffError, Exchange, AnswerSink
+from .exchange import AnswerCutOffError, RelayExchange, AnswerSink
 from .progress import RequestRefusedError, answer_lost_refusal
-from .target_picker import NO_TARGET_RETRY, TargetPicker, come_back
+from .target_picker import NO_TARGET_RETRY, TargetPicker, jittered_retry_after
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
         self.clock = parts.state.clock
         self.picker = TargetPicker(parts)
 
-    async def serve(self, exchange: Exchange, sink: AnswerSink) -> None:
+    async def serve(self, exchange: RelayExchange, sink: AnswerSink) -> None:
         """Serve a request.
 
         Raises
@@ -41,36 +41,36 @@
         BrokenOffError
             If its answer had begun and was not completed.
         """
-        self.state.budget(exchange.pool).request(self.clock.monotonic())
+        self.state.repeat_budget(exchange.pool).request(self.clock.monotonic())
         try:
-            await self.attempt_all(exchange, sink)
+            await self.serve_with_retries(exchange, sink)
         finally:
             exchange.end_repeat(self.clock.monotonic())
-            self.guard.release_permit(exchange.guarded)
+            self.guard.release_permit(exchange.guarded_run)
 
-    async def attempt_all(self, exchange: Exchange, sink: AnswerSink) -> None:
+    async def serve_with_retries(self, exchange: RelayExchange, sink: AnswerSink) -> None:
         """Try one target after another until one has answered."""
         while True:
             # A target's end also counts against the request: left to the judgement of
             # targets, one that ends whatever runs it would go on to the next.
-            await self.settled(exchange)
-            self.guard.refuse_if_held(exchange.guarded)
+            await self.wait_for_verdict(exchange)
+            self.guard.refuse_if_held(exchange.guarded_run)
             target = await self.picker.choose(exchange)
-            if not await self.guard.may_run(exchange.guarded):
+            if not await self.guard.may_run(exchange.guarded_run):
                 continue
             attempt = Attempt(self.parts, exchange, target)
-            end = await self.run(attempt, sink)
+            end = await self.run_attempt(attempt, sink)
             if end is AttemptEnd.LOST_ON_KEPT:
                 end = await self.resend(attempt, sink)
             if end is None:
                 return
-            self.note_end(exchange, target.target.target_id, end)
-            await self.follow(exchange, end)
+            self.record_end(exchange, target.target.target_id, end)
+            await self.allow_retry_or_raise(exchange, end)
 
-    def note_end(self, exchange: Exchange, target: TargetId, end: AttemptEnd) -> None:
+    def record_end(self, exchange: RelayExchange, target: TargetId, end: AttemptEnd) -> None:
         """Take how an attempt at a target failed."""
-        exchange.so_far = exchange.so_far.after(end)
-        exchange.guarded.may_have_run = exchange.so_far.runs > 0
+        exchange.attempts_so_far = exchange.attempts_so_far.after(end)
+        exchange.guarded_run.may_have_run = exchange.attempts_so_far.runs > 0
         exchange.tried |= {target}
         if end is AttemptEnd.REJECTED:
             exchange.rejections[target] += 1
@@ -81,65 +81,65 @@
         Both sends are one of the runs that the route permits: they reach one target.
         """
         exchange = lost.exchange
-        exchange.guarded.may_have_run = True
-        left_s = exchange.left(self.clock.monotonic()).total_seconds()
-        if not await self.guard.wait_for_verdict(exchange.guarded, left_s):
-            lost.judge(Verdict.FAILED)
+        exchange.guarded_run.may_have_run = True
+        left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
+        if not await self.guard.wait_for_verdict(exchange.guarded_run, left_s):
+            lost.record_verdict(Verdict.FAILED)
             return AttemptEnd.MAY_HAVE_RUN
-        if not await self.guard.may_run(exchange.guarded):
+        if not await self.guard.may_run(exchange.guarded_run):
             return AttemptEnd.MAY_HAVE_RUN
         now = self.clock.monotonic()
         use = self.repeat_use(exchange, now)
-        if exchange.left(now) <= ZERO or not use.has_room:
+        if exchange.time_left(now) <= ZERO or not use.has_room:
             return AttemptEnd.MAY_HAVE_RUN
         self.log_retry_decision(exchange, AttemptEnd.LOST_ON_KEPT, Next.AGAIN, use)
-        exchange.begin_repeat(self.state.budget(exchange.pool))
+        exchange.begin_repeat(self.state.repeat_budget(exchange.pool))
         again = Attempt(self.parts, exchange, lost.published, is_resend=True)
-        end = await self.run(again, sink)
+        end = await self.run_attempt(again, sink)
         return AttemptEnd.MAY_HAVE_RUN if end is not None else None
 
-    async def settled(self, exchange: Exchange) -> None:
+    async def wait_for_verdict(self, exchange: RelayExchange) -> None:
         """Wait until it is known whether the last target ended under a request."""
-        left_s = exchange.left(self.clock.monotonic()).total_seconds()
-        await self.guard.wait_for_verdict(exchange.guarded, left_s)
-        if exchange.so_far.runs and exchange.left(self.clock.monotonic()) <= ZERO:
+        left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
+        await self.guard.wait_for_verdict(exchange.guarded_run, left_s)
+        if exchange.attempts_so_far.runs and exchange.time_left(self.clock.monotonic()) <= ZERO:
             raise RequestRefusedError(answer_lost_refusal())
 
-    async def follow(self, exchange: Exchange, end: AttemptEnd) -> None:
+    async def allow_retry_or_raise(self, exchange: RelayExchange, end: AttemptEnd) -> None:
         """Permit another attempt by returning, or raise the request's end."""
         pause_s = 0.0
         if end is AttemptEnd.REJECTED:
-            pause_s = self.picker.pause_s(exchange)
+            pause_s = self.picker.retry_pause_s(exchange)
         now = self.clock.monotonic()
         use = self.repeat_use(exchange, now)
         within_budget = end is AttemptEnd.NOT_SENT or use.has_room
         route = exchange.route
-        if exchange.has_begun and route.repetition is not Repetition.RESUMABLE_STREAM:
+        if exchange.answer_started and route.repetition is not Repetition.RESUMABLE_STREAM:
             raise AnswerCutOffError
         step = next_step(
             route.repetition,
             route.max_runs,
-            exchange.so_far,
-            exchange.left(now),
+            exchange.attempts_so_far,
+            exchange.time_left(now),
             within_budget,
         )
         self.log_retry_decision(exchange, end, step, use)
         if step is Next.AGAIN:
             if end is not AttemptEnd.NOT_SENT:
-                exchange.begin_repeat(self.state.budget(exchange.pool))
+                exchange.begin_repeat(self.state.repeat_budget(exchange.pool))
             if end is AttemptEnd.REJECTED:
                 await asyncio.sleep(pause_s)
             return
-        if exchange.has_begun:
+        if exchange.answer_started:
             raise AnswerCutOffError
         raise RequestRefusedError(self.final_refusal(step, within_budget))
 
-    def repeat_use(self, exchange: Exchange, now: Instant) -> RepeatUse:
+    def repeat_use(self, exchange: RelayExchange, now: Instant) -> RepeatUse:
         """Return what of this host's share of repeats at a pool is used."""
-        return self.state.budget(exchange.pool).use(self.state.size.hosts(), now)
+        return self.state.repeat_budget(exchange.pool).use(self.state.fleet_size.hosts(), now)
 
     def log_retry_decision(
-        self, exchange: Exchange, end: AttemptEnd, step: Next, use: RepeatUse
+        self, exchange: RelayExchange, end: AttemptEnd, step: Next, use: RepeatUse
     ) -> None:
         """Log whether another attempt may follow, and from what that was decided."""
         is_permitted = step is Next.AGAIN
@@ -167,29 +167,29 @@
         text = "no target took the request"
         if not within_budget:
             text += ", and the budget for further attempts is spent"
-        wait = come_back(self.state.random, NO_TARGET_RETRY)
+        wait = jittered_retry_after(self.state.random, NO_TARGET_RETRY)
         return not_run(Reason.TARGET_REFUSED, text, wait)
 
-    async def run(self, attempt: Attempt, sink: AnswerSink) -> AttemptEnd | None:
+    async def run_attempt(self, attempt: Attempt, sink: AnswerSink) -> AttemptEnd | None:
         """Send a request to one target; return how that failed, or None."""
         exchange, published = attempt.exchange, attempt.published
-        attempt.enter()
+        attempt.begin_accounting()
         try:
             with self.parts.tracing.child_span("target", exchange.span) as span:
                 attempt.trace_headers = self.parts.tracing.headers(span)
-                end = await attempt.run(sink)
+                end = await attempt.execute(sink)
         except TargetError as error:
-            end = attempt.failed(error)
+            end = attempt.handle_failure(error)
             if error.fault in (TargetFault.BROKEN, TargetFault.LOST_ON_KEPT):
                 incarnation = published.incarnation
                 self.guard.handle_broken_connection(
-                    exchange.guarded, published.target, incarnation, attempt.taken_s()
+                    exchange.guarded_run, published.target, incarnation, attempt.elapsed_s()
                 )
         finally:
-            attempt.leave()
+            attempt.end_accounting()
             exchange.end_repeat(self.clock.monotonic())
         if attempt.was_served:
-            self.guard.record_answer(exchange.guarded.content)
+            self.guard.record_answer(exchange.guarded_run.content)
         result = end.value if end else "answered"
         self.parts.metrics.attempts.inc({"pool": exchange.pool, "result": result})
         return end
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -19,7 +19,7 @@
 from .caller_answer import CallerAnswer
 from .caller_connection import CallerConnection
 from .caller_admission import CallerAdmission
-from .exchange import AnswerCutOffError, Exchange
+from .exchange import AnswerCutOffError, RelayExchange
 from .guarded_run import GuardedRun
 from .progress import RequestRefusedError
 from .relay import Relay
@@ -135,7 +135,7 @@
             answer.organisation = asks.name if asks is not None else ""
             self.refuse_if_closing(route)
             admitted = None if asks is None else self.gate.admit(asks, terms)
-            exchange = await self.exchange(http, terms, config, route, asks, arrived)
+            exchange = await self.build_exchange(http, terms, config, route, asks, arrived)
             try:
                 await self.relay.serve(exchange, answer.sink())
             finally:
@@ -193,7 +193,7 @@
             text = "this host is stopping; others serve you"
             raise RequestRefusedError(not_run(Reason.SHUTTING_DOWN, text, STOPPING_RETRY))
 
-    async def exchange(
+    async def build_exchange(
         self,
         http: web.BaseRequest,
         terms: RequestTerms,
@@ -201,7 +201,7 @@
         route: Route,
         asks: Organisation | None,
         arrived: Instant,
-    ) -> Exchange:
+    ) -> RelayExchange:
         """Read the body and put the request together."""
         wait = min(terms.wait or route.timeout, route.timeout)
         deadline = arrived + wait
@@ -210,7 +210,7 @@
         host = http.headers.get("Host", "")
         caller = terms.caller if asks is None else asks.name
         content = content_id(http.method, host, http.raw_path, caller, body)
-        return Exchange(
+        return RelayExchange(
             terms,
             route,
             route.pool_for(terms.request_id),
@@ -235,7 +235,7 @@
         """
         limit = limits.max_body_bytes
         if (http.content_length or 0) > limit:
-            raise RequestRefusedError(too_large(limit))
+            raise RequestRefusedError(too_large_refusal(limit))
         if not http.can_read_body:
             return b""
         if http.headers.get("Expect", "").lower() == "100-continue":
@@ -250,7 +250,7 @@
                     self.bodies_bytes += len(part)
                     parts.append(part)
                     if size > limit:
-                        raise RequestRefusedError(too_large(limit))
+                        raise RequestRefusedError(too_large_refusal(limit))
                     if self.bodies_bytes > self.max_bodies_bytes:
                         text = "the memory for bodies is used up"
                         raise RequestRefusedError(not_run(Reason.OVERLOADED, text, BODY_RETRY))
@@ -264,7 +264,7 @@
             raise
 
 
-def too_large(limit: int) -> Refusal:
+def too_large_refusal(limit: int) -> Refusal:
     """Return the refusal of a body beyond the limit."""
     return not_run(Reason.TOO_LARGE, f"the body exceeds {limit} bytes")
 
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keeper:
+class EngineKeeper:
     """The host that orders a data centre's engines.
 
     Parameters
@@ -85,18 +85,18 @@
     orders: OrderTask | None = None
     fleet_view_hub: HostId | None = None
     fleet_view_at: Instant = ZERO
-    slack_from: Instant = ZERO
-    size: FleetSize = field(init=False)
+    repeat_slack_from: Instant = ZERO
+    fleet_size: FleetSize = field(init=False)
     quotas: FleetQuotas = field(init=False)
 
     def __post_init__(self) -> None:
         """Open the book of quotas."""
-        self.size = FleetSize(self.fleet, self.clock)
-        self.quotas = FleetQuotas(self.size, self.clock, self.random.random)
+        self.fleet_size = FleetSize(self.fleet, self.clock)
+        self.quotas = FleetQuotas(self.fleet_size, self.clock, self.random.random)
 
     # What comes in.
 
-    def take_catalogue(self, catalogue: Catalogue) -> None:
+    def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Take what the store publishes, and forget targets that are gone."""
         before, self.catalogue = self.catalogue, catalogue
         for target_id, published in catalogue.targets.items():
@@ -114,24 +114,24 @@
         self.loads.forget_target(target_id)
         self.uses.forget_target(target_id)
 
-    def take_digest(self, heard: HeardDigest) -> None:
+    def apply_digest(self, heard: HeardDigest) -> None:
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
         digest = heard.digest
         self.loads.measures_together = not self.fleet.is_mesh
         self.loads.peer_life = max(PEER_SHARE_LIFE, self.fleet.longest_silence())
         match digest.scope:
             case Scope.HOST | Scope.DATA_CENTRE if self.receives_host_digests():
-                self.take_part(heard)
+                self.apply_host_digest(heard)
             case Scope.FLEET if self.fleet.hub() == digest.host:
-                self.take_sum(heard)
+                self.apply_fleet_digest(heard)
         for holdings in digest.holdings:
-            self.hear_holdings(holdings, heard.at)
+            self.apply_holdings(holdings, heard.at)
 
     def receives_host_digests(self) -> bool:
         """Return whether this host hears others' parts, not their sum from a hub."""
         return self.fleet.is_mesh or self.fleet.is_hub()
 
-    def take_part(self, heard: HeardDigest) -> None:
+    def apply_host_digest(self, heard: HeardDigest) -> None:
         """Take the part of one host, or of the hosts of one data centre."""
         digest, now = heard.digest, heard.at
         host_id = digest.host.host_id
@@ -159,7 +159,7 @@
             self.fleet.hub_period_s()
         )
 
-    def take_sum(self, heard: HeardDigest) -> None:
+    def apply_fleet_digest(self, heard: HeardDigest) -> None:
         """Take from this data centre's hub what all other hosts have and saw."""
         digest, now = heard.digest, heard.at
         host_id = digest.host.host_id
@@ -181,7 +181,7 @@
             if peer.contact.data_centre == hub.data_centre:
                 self.forget_peer(host_id)
 
-    def hear_holdings(self, holdings: EngineHoldings, now: Instant) -> None:
+    def apply_holdings(self, holdings: EngineHoldings, now: Instant) -> None:
         """Take what an engine holds from the host that orders it."""
         coming = {
             parse_adapter_ref(text).unwrap(): now + seconds(in_s)
@@ -213,7 +213,7 @@
         """Return this host's uses of adapters, for its peers."""
         return tuple(AdapterUse(t, a, n) for (t, a), n in self.uses.own.items())
 
-    def uses_of(
+    def summed_uses(
         self, hosts: Iterable[HostId], data_centre: str
     ) -> tuple[AdapterUse, ...]:
         """Return the uses of this host and some peers of a data centre's engines."""
@@ -227,7 +227,7 @@
 
     def count_hosts(self) -> None:
         """Count the hosts that live, among which bounds on all of them are divided."""
-        self.size.count()
+        self.fleet_size.count()
         self.quotas.take_size()
 
     def apply_repeat_policy(self, policy: RepeatPolicy) -> None:
@@ -238,20 +238,20 @@
 
     # What a request sees.
 
-    def budget(self, pool: PoolName) -> RepeatBudget:
+    def repeat_budget(self, pool: PoolName) -> RepeatBudget:
         """Return this host's budget of repeats at a pool."""
         found = self.budgets.get(pool)
         if found is None:
-            found = RepeatBudget(self.repeat_policy, self.slack_from)
+            found = RepeatBudget(self.repeat_policy, self.repeat_slack_from)
             self.budgets[pool] = found
         return found
 
-    def wanted(self, terms: RequestTerms) -> AdapterRef:
+    def required_adapter(self, terms: RequestTerms) -> AdapterRef:
         """Return the adapter that a request needs, in its newest version."""
         version = self.catalogue.newest.get(terms.adapter, FIRST_VERSION)
         return AdapterRef(terms.adapter, version)
 
-    def keepers(self, data_centres: Iterable[str]) -> dict[str, Keeper]:
+    def keepers(self, data_centres: Iterable[str]) -> dict[str, EngineKeeper]:
         """Return the hosts that order the engines of data centres, where known."""
         peers = self.fleet.keepers()
         found = {}
@@ -259,12 +259,12 @@
             keeper = self.own_keeping(data_centre)
             peer = peers.get(data_centre)
             if keeper is None and peer is not None:
-                keeper = Keeper(peer.contact.host_id, peer.orders_in_s, is_self=False)
+                keeper = EngineKeeper(peer.contact.host_id, peer.orders_in_s, is_self=False)
             if keeper is not None:
                 found[data_centre] = keeper
         return found
 
-    def own_keeping(self, data_centre: str) -> Keeper | None:
+    def own_keeping(self, data_centre: str) -> EngineKeeper | None:
         """Return this host as the one that orders a data centre's engines, if it is."""
         orders = self.orders
         if orders is None or data_centre != self.data_centre:
@@ -272,9 +272,9 @@
         opens_in_s = orders.orders_in_s
         if opens_in_s == float("inf"):
             return None
-        return Keeper(orders.me, opens_in_s, is_self=True)
+        return EngineKeeper(orders.me, opens_in_s, is_self=True)
 
-    def keeper_of(self, data_centre: str) -> Keeper | None:
+    def keeper_of(self, data_centre: str) -> EngineKeeper | None:
         """Return the host that orders a data centre's engines, if one is known."""
         return self.keepers((data_centre,)).get(data_centre)
 
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -142,7 +142,7 @@
             random,
             bounds.repeats,
             self.fleet,
-            slack_from=ZERO if profile.is_first_start else began + SLACK_AFTER,
+            repeat_slack_from=ZERO if profile.is_first_start else began + SLACK_AFTER,
         )
         self.state.quotas.take_policy(bounds.quotas)
         self.state.health.turn = turn_of(profile.host_id)
@@ -217,11 +217,11 @@
 
     def connect(self) -> None:
         """Say which task hears of which change, and who answers which message."""
-        self.store.catalogues.subscribe(self.state.take_catalogue)
+        self.store.catalogues.subscribe(self.state.apply_catalogue)
         self.store.catalogues.subscribe(self.orders.take_catalogue)
         self.store.catalogues.subscribe(self.tell_catalogue)
         self.store.catalogues.subscribe(self.guard.apply_catalogue)
-        self.fleet.digests.subscribe(self.state.take_digest)
+        self.fleet.digests.subscribe(self.state.apply_digest)
         self.fleet.digests.subscribe(self.take_contents)
         self.fleet.digests.subscribe(self.writer.take_digest)
         self.fleet.digests.subscribe(self.take_digest)
@@ -259,7 +259,7 @@
         """Let this host and its peers know what engines hold now."""
         now = self.clock.monotonic()
         for holdings in self.orders.holdings():
-            self.state.hear_holdings(holdings, now)
+            self.state.apply_holdings(holdings, now)
         self.fleet.tell_soon(far=True)
 
     def tell_catalogue(self, _: Catalogue) -> None:
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -10,7 +10,7 @@
 from sardinequay_core.service_choice import ServiceOption
 from sardinequay_core.target_choice import EngineOption, Holding
 
-from .relay_state import Keeper, RelayState
+from .relay_state import EngineKeeper, RelayState
 from .serving_ports import RequestTerms
 
 
@@ -20,7 +20,7 @@
     def __init__(self, state: RelayState) -> None:
         self.state = state
 
-    def usable(self, pool: PoolName, now: Instant) -> list[PublishedTarget]:
+    def usable_targets(self, pool: PoolName, now: Instant) -> list[PublishedTarget]:
         """Return the targets of a pool that requests may go to."""
         live = self.state.catalogue.live(pool)
         self.state.health.hosts = self.state.fleet.live_hosts
@@ -44,7 +44,7 @@
             How long the adapter would take, in seconds, by what engines' keepers said.
         """
         now = self.state.clock.monotonic()
-        usable = self.usable(pool, now)
+        usable = self.usable_targets(pool, now)
         order = rank(terms.adapter, [t.target.target_id for t in usable])
         home = {target: place for place, target in enumerate(order)}
         here = {t.target.data_centre for t in usable}
@@ -67,7 +67,7 @@
         published: PublishedTarget,
         terms: RequestTerms,
         home_rank: int,
-        keeper: Keeper | None,
+        keeper: EngineKeeper | None,
         now: Instant,
         was_barred: bool,
         told_s: float | None,
@@ -127,7 +127,7 @@
         if not terms.adapter:
             has_model = not terms.model or terms.model in published.models
             return (Holding.RESIDENT if has_model else Holding.ABSENT), 0.0
-        wanted = self.state.wanted(terms)
+        wanted = self.state.required_adapter(terms)
         if self.state.residency.resident(published, wanted) is not None:
             return Holding.RESIDENT, 0.0
         coming_at = self.state.residency.coming_at(published, wanted)
@@ -153,7 +153,7 @@
         """Return the targets of a plain service as a request may use them."""
         now = self.state.clock.monotonic()
         options = []
-        for published in self.usable(pool, now):
+        for published in self.usable_targets(pool, now):
             target_id = published.target.target_id
             options.append(
                 ServiceOption(
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -20,12 +20,12 @@
 )
 
 from .attempt import RelayDependencies
-from .exchange import Exchange
+from .exchange import RelayExchange
 from .progress import RequestRefusedError, answer_lost_refusal
 from .serving_messages import WantAdapter, WantReply
 from .target_options import TargetOptions
 
-LOOK_AGAIN_S = 0.4
+REEVALUATE_AFTER_S = 0.4
 """How long a request waits for one engine before all are compared anew, in seconds: a
 little longer than a load takes. Bound to its first choice it would wait for a place
 while other engines have some."""
@@ -66,11 +66,11 @@
     def __init__(self, parts: RelayDependencies) -> None:
         self.state = parts.state
         self.options = TargetOptions(parts.state)
-        self.wants = parts.wants
+        self.wants = parts.load_requests
         self.metrics = parts.metrics
         self.clock = parts.state.clock
 
-    async def choose(self, exchange: Exchange) -> PublishedTarget:
+    async def choose(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the target for the next attempt, waiting for an adapter if need be."""
         config = self.state.catalogue.config
         pool = config.pools.get(exchange.pool) if config else None
@@ -78,16 +78,16 @@
             return self.choose_service(exchange)
         return await self.choose_engine(exchange)
 
-    def choose_service(self, exchange: Exchange) -> PublishedTarget:
+    def choose_service(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the target of a plain service with the least to do."""
         options = self.options.service_options(exchange.pool, exchange.tried)
         found = choose_service(options)
         if found is None:
-            raise RequestRefusedError(self.no_target(exchange))
+            raise RequestRefusedError(self.no_target_refusal(exchange))
         self.log_choice(exchange, found, "least filled", len(options))
         return self.state.catalogue.targets[found]
 
-    def pause_s(self, exchange: Exchange) -> float:
+    def retry_pause_s(self, exchange: RelayExchange) -> float:
         """Return the pause before the next attempt of a rejected request, in seconds.
 
         Raises
@@ -98,28 +98,28 @@
         """
         if exchange.terms.model:
             return NEXT_TARGET_PAUSE_S
-        usable = self.options.usable(exchange.pool, self.clock.monotonic())
+        usable = self.options.usable_targets(exchange.pool, self.clock.monotonic())
         asked = [exchange.rejections[t.target.target_id] for t in usable]
         if 0 in asked:
             return NEXT_TARGET_PAUSE_S
         if min(asked, default=MAX_REJECTIONS_PER_TARGET) < MAX_REJECTIONS_PER_TARGET:
             return SAME_TARGET_PAUSE_S
-        if exchange.so_far.runs:
+        if exchange.attempts_so_far.runs:
             raise RequestRefusedError(answer_lost_refusal())
         text = "each target of the pool has rejected the request"
-        wait = come_back(self.state.random, NO_TARGET_RETRY)
+        wait = jittered_retry_after(self.state.random, NO_TARGET_RETRY)
         raise RequestRefusedError(not_run(Reason.TARGET_REFUSED, text, wait))
 
-    def no_target(self, exchange: Exchange) -> Refusal:
+    def no_target_refusal(self, exchange: RelayExchange) -> Refusal:
         """Return the refusal of a request for which there is no target."""
-        if exchange.so_far.runs:
+        if exchange.attempts_so_far.runs:
             return answer_lost_refusal()
         text = "no target of the pool is live"
         return not_run(
-            Reason.NO_TARGET, text, come_back(self.state.random, NO_TARGET_RETRY)
+            Reason.NO_TARGET, text, jittered_retry_after(self.state.random, NO_TARGET_RETRY)
         )
 
-    async def choose_engine(self, exchange: Exchange) -> PublishedTarget:
+    async def choose_engine(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the engine for the next attempt, with the adapter on it."""
         told: dict[TargetId, Instant] = {}
         failed_requests = 0
@@ -129,7 +129,7 @@
         while True:
             now = self.clock.monotonic()
             options = self.options.engine_options(
-                exchange.pool, exchange.terms, exchange.tried, time_left(told, now)
+                exchange.pool, exchange.terms, exchange.tried, seconds_until(told, now)
             )
             left_s = exchange.first_event_left_s(now)
             due = self.options.copies_due(terms, len(options))
@@ -155,30 +155,30 @@
             told[choice.target] = now + seconds(reply.expected_s or ASSUMED_QUEUE_WAIT_S)
             failed_requests += 1
             if failed_requests >= MAX_FAILED_LOAD_REQUESTS:
-                busy = TooBusy(min(time_left(told, now).values()))
+                busy = TooBusy(min(seconds_until(told, now).values()))
                 raise RequestRefusedError(self.no_engine_refusal(exchange, busy, left_s))
 
     def no_engine_refusal(
-        self, exchange: Exchange, choice: TooBusy | Nowhere, left_s: float
+        self, exchange: RelayExchange, choice: TooBusy | Nowhere, left_s: float
     ) -> Refusal:
         """Return the refusal of a request that no engine can begin in time."""
-        if exchange.so_far.runs:
+        if exchange.attempts_so_far.runs:
             return answer_lost_refusal()
         if isinstance(choice, TooBusy):
             text = f"no engine can begin within {left_s:.2f} s"
-            wait = come_back(self.state.random, seconds(choice.wait_s))
+            wait = jittered_retry_after(self.state.random, seconds(choice.wait_s))
             return not_run(Reason.OVERLOADED, text, wait)
         text = "no engine has the adapter, and none can be ordered to load it now"
         return not_run(
-            Reason.NO_TARGET, text, come_back(self.state.random, NO_KEEPER_RETRY)
+            Reason.NO_TARGET, text, jittered_retry_after(self.state.random, NO_KEEPER_RETRY)
         )
 
     async def wait_for_load(
-        self, exchange: Exchange, target: TargetId, left_s: float
+        self, exchange: RelayExchange, target: TargetId, left_s: float
     ) -> WantReply:
         """Have an adapter loaded; return whether that went well."""
         began = self.clock.monotonic()
-        wanted = self.state.wanted(exchange.terms)
+        wanted = self.state.required_adapter(exchange.terms)
         route = exchange.route
         loads, terms = self.state.loads, exchange.terms
         reading_s = loads.first_event_s(target, terms.prompt_tokens, began)
@@ -190,14 +190,14 @@
             goal_s,
             left_s * PATIENCE,
             exchange.waited_s(began),
-            LOOK_AGAIN_S,
+            REEVALUATE_AFTER_S,
         )
         # Its prompt counts there as work that waits. Uncounted, prompts that wait for
         # adapters all go to the engine that looks idle, and move on when their loads
         # are there, which then serve nobody.
         loads.begin(target, terms.prompt_tokens)
         try:
-            reply = await self.wants.ask(ask)
+            reply = await self.wants.request_load(ask)
         finally:
             loads.end(target, terms.prompt_tokens, had_first_event=False)
         took = (self.clock.monotonic() - began).total_seconds()
@@ -229,7 +229,7 @@
 
     def log_choice(
         self,
-        exchange: Exchange,
+        exchange: RelayExchange,
         target: TargetId,
         why: str,
         options: int,
@@ -242,7 +242,7 @@
             extra={
                 "request": exchange.terms.request_id,
                 "target": target,
-                "content": exchange.guarded.content,
+                "content": exchange.guarded_run.content,
                 "adapter": exchange.terms.adapter,
                 "why": why,
                 "options": options,
@@ -250,14 +250,14 @@
                 "running": share.running,
                 "revision": self.state.catalogue.revision,
                 "store_age_s": round(self.state.fleet.freshest_store_age_s(), 2),
-                "attempt": exchange.so_far.runs + exchange.so_far.rejections + 1,
+                "attempt": exchange.attempts_so_far.runs + exchange.attempts_so_far.rejections + 1,
                 "expected_s": round(expected_s, 4),
                 "waited_s": round(exchange.waited_s(self.clock.monotonic()), 4),
             },
         )
 
 
-def time_left(due: Mapping[TargetId, Instant], now: Instant) -> dict[TargetId, float]:
+def seconds_until(due: Mapping[TargetId, Instant], now: Instant) -> dict[TargetId, float]:
     """Return how long it is until each of some moments, in seconds."""
     return {t: max(0.0, (at - now).total_seconds()) for t, at in due.items()}
 
@@ -267,6 +267,6 @@
     return 1.0 + 1.0 / (1 + priority)
 
 
-def come_back(random: Random, after: timedelta) -> timedelta:
+def jittered_retry_after(random: Random, after: timedelta) -> timedelta:
     """Return when to come back, spread so that callers do not come at once."""
     return after + seconds(random.uniform(0, RETRY_JITTER_S))
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -121,7 +121,7 @@
             self.me, self.fleet, self.state, Store(), self.orders, clock
         )
         self.fleet.holds_lease = lambda: self.orders.lease.is_holder
-        self.fleet.digests.subscribe(self.state.take_digest)
+        self.fleet.digests.subscribe(self.state.apply_digest)
         self.fleet.digests.subscribe(self.take_contents)
         self.contents_heard = 0
         self.fleet.digests.subscribe(self.writer.take_digest)
@@ -625,7 +625,7 @@
     for host in world.hosts:
         host.state.count_hosts()
         assert host.fleet.live_hosts < 50
-        assert host.state.size.hosts() >= 50
+        assert host.state.fleet_size.hosts() >= 50
 
 
 def test_hosts_divide_repeats_by_all_while_a_hub_is_lost(world: World) -> None:
@@ -636,7 +636,7 @@
         world.pass_time(0.2)
         for host in world.hosts:
             host.state.count_hosts()
-            assert host.state.size.hosts() >= 50
+            assert host.state.fleet_size.hosts() >= 50
 
 
 def test_host_that_has_just_started_takes_a_small_part_of_the_repeats(
@@ -644,7 +644,7 @@
 ) -> None:
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     host = Host(7, clock, seeds)
-    assert host.state.size.hosts() == ASSUMED_HOSTS
+    assert host.state.fleet_size.hosts() == ASSUMED_HOSTS
     clock.turn(60)
     host.state.count_hosts()
-    assert host.state.size.hosts() == len(seeds) + 1
+    assert host.state.fleet_size.hosts() == len(seeds) + 1
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -42,10 +42,10 @@
     make_config,
 )
 from sardinequay_daemon.attempt import RelayDependencies
-from sardinequay_daemon.exchange import Exchange
+from sardinequay_daemon.exchange import RelayExchange
 from sardinequay_daemon.guarded_run import GuardedRun
 from sardinequay_daemon.progress import RequestRefusedError
-from sardinequay_daemon.relay_state import Keeper, RelayState
+from sardinequay_daemon.relay_state import EngineKeeper, RelayState
 from sardinequay_daemon.serving_messages import WantAdapter, WantReply
 from sardinequay_daemon.serving_metrics import ServingMetrics
 from sardinequay_daemon.serving_ports import RequestTerms
@@ -94,7 +94,7 @@
         self.asked: list[WantAdapter] = []
         self.on_ask: Callable[[], None] = lambda: None
 
-    async def ask(self, message: WantAdapter) -> WantReply:
+    async def request_load(self, message: WantAdapter) -> WantReply:
         self.asked.append(message)
         self.on_ask()
         return self.replies.pop(0) if self.replies else self.reply
@@ -118,11 +118,11 @@
 @pytest.fixture
 def state(clock: TurnedClock, monkeypatch: pytest.MonkeyPatch) -> RelayState:
     made = RelayState("za", clock, Random(1), RepeatPolicy(), Fleet())
-    keeper = Keeper(HostId("h1"), 0.0, is_self=True)
+    keeper = EngineKeeper(HostId("h1"), 0.0, is_self=True)
     monkeypatch.setattr(
         RelayState, "keepers", lambda self, places: dict.fromkeys(places, keeper)
     )
-    made.take_catalogue(catalogue_of(engine("e1", "a1"), engine("e2"), engine("e3")))
+    made.apply_catalogue(catalogue_of(engine("e1", "a1"), engine("e2"), engine("e3")))
     return made
 
 
@@ -137,9 +137,9 @@
 
 def exchange(clock: TurnedClock, adapter: str, wait: timedelta = FOUR_SECONDS):
     now = clock.monotonic()
-    return Exchange(
+    return RelayExchange(
         terms=RequestTerms("r1", "m", f"m/{adapter}", 2000, wait),
-        guarded=GuardedRun("r1", ContentId("c")),
+        guarded_run=GuardedRun("r1", ContentId("c")),
         route=ROUTE,
         pool=POOL,
         method="POST",
@@ -196,7 +196,7 @@
 
 
 async def test_keeper_that_may_order_soon_is_waited_for(picker, clock, monkeypatch):
-    soon = Keeper(HostId("h1"), 1.5, is_self=True)
+    soon = EngineKeeper(HostId("h1"), 1.5, is_self=True)
     monkeypatch.setattr(
         RelayState, "keepers", lambda self, places: dict.fromkeys(places, soon)
     )
@@ -217,7 +217,7 @@
     other = engine("e4")
     published = other.published
     lacking = TargetPublished(replace(published, models=frozenset({"n"})))
-    state.take_catalogue(catalogue_of(lacking))
+    state.apply_catalogue(catalogue_of(lacking))
     with pytest.raises(RequestRefusedError):
         await picker.choose(exchange(clock, "a9"))
     assert board.asked == []
@@ -285,7 +285,7 @@
         await held.wait()
         return WantReply(True, "loaded")
 
-    board.ask = wait
+    board.request_load = wait
     adapters = ("a5", "a6", "a7")
     waiting = [asyncio.create_task(picker.choose(exchange(clock, a))) for a in adapters]
     await asyncio.sleep(0)
