--- a/packages/daemon/src/sardinequay_daemon/answers.py
+++ b/packages/daemon/src/sardinequay_daemon/answers.py
@@ -66,7 +66,7 @@
         self.texts: dict[int, list[str]] = {}
         self.choices: dict[int, dict[str, Any]] = {}
 
-    def take(self, data: bytes) -> None:
+    def add_events(self, data: bytes) -> None:
         """Take whole events."""
         for event in data.split(EVENT_END):
             payload = event_data(event)
@@ -87,13 +87,13 @@
 
     def body(self) -> bytes:
         """Return the whole answer as JSON."""
-        choices = [self.choice(index) for index in sorted(self.choices)]
+        choices = [self.whole_choice(index) for index in sorted(self.choices)]
         kind = str(self.template.get("object", "")).removesuffix(".chunk")
         return msgspec.json.encode(
             {**self.template, "object": kind, "choices": choices}
         )
 
-    def choice(self, index: int) -> dict[str, Any]:
+    def whole_choice(self, index: int) -> dict[str, Any]:
         """Return one choice with its whole text."""
         kept = dict(self.choices[index])
         text = "".join(self.texts[index])
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -20,7 +20,7 @@
 from .serving_ports import AnswerFacts, HttpDialect, SendTerms
 from .target_errors import TargetErrorTranslator
 from .tracing import Tracing
-from .upstream import MAX_WHOLE_BYTES, UpstreamRequest, Upstream
+from .upstream import MAX_BUFFERED_BYTES, UpstreamRequest, Upstream
 from .load_requests import LoadRequestClient
 
 HEAD_TIMEOUT_GOALS = 2.0
@@ -150,7 +150,7 @@
             exchange.last_event,
             exchange.organisation.name if exchange.organisation else "",
         )
-        headers = self.parts.dialect.forwarded(exchange.headers, exchange.terms, terms)
+        headers = self.parts.dialect.target_headers(exchange.headers, exchange.terms, terms)
         headers.update(self.trace_headers)
         return UpstreamRequest(
             exchange.method,
@@ -182,7 +182,7 @@
             address, request, self.head_timeout_s(), self.count_send
         ) as answer:
             self.exchange.end_repeat(self.clock.monotonic())
-            facts = self.parts.dialect.facts(answer.status, answer.headers)
+            facts = self.parts.dialect.read_facts(answer.status, answer.headers)
             if facts.request_id != self.exchange.terms.request_id:
                 detail = f"an answer to {facts.request_id!r}"
                 raise TargetError(TargetFault.BROKEN, detail)
@@ -294,7 +294,7 @@
         while data := await body.read_chunk():
             held.append(data)
             size += len(data)
-            if size > MAX_WHOLE_BYTES:
+            if size > MAX_BUFFERED_BYTES:
                 await self.forward_head(answer, sink)
                 await sink.write_body(b"".join(held))
                 held.clear()
--- a/packages/daemon/src/sardinequay_daemon/caller_admission.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_admission.py
@@ -50,7 +50,7 @@
         self.store_age_s = store_age_s
         self.metrics = metrics
 
-    def organisation(
+    def authenticate(
         self, config: ServingConfig, route: Route, terms: RequestTerms
     ) -> Organisation | None:
         """Return who asks; None where nobody needs to say.
@@ -97,9 +97,9 @@
         self.metrics.over_quota.inc(
             {"organisation": self.metrics.organisation_label(organisation.name)}
         )
-        raise RequestRefusedError(self.over_quota(result))
+        raise RequestRefusedError(self.over_quota_refusal(result))
 
-    def over_quota(self, over: OverQuota) -> Refusal:
+    def over_quota_refusal(self, over: OverQuota) -> Refusal:
         """Return the refusal of a request beyond its organisation's quota."""
         text = (
             f"organisation {over.organisation} asks for {over.asked_per_s:.0f} of"
@@ -108,12 +108,12 @@
         )
         if over.come_back is None:
             return not_run(Reason.OVER_QUOTA, f"{text}, more than ever fits")
-        return not_run(Reason.OVER_QUOTA, text, self.spread(over.come_back))
+        return not_run(Reason.OVER_QUOTA, text, self.jittered_wait(over.come_back))
 
-    def spread(self, wait: timedelta) -> timedelta:
+    def jittered_wait(self, wait: timedelta) -> timedelta:
         """Return when to come back, so that callers do not come together."""
         return max(MIN_RETRY_AFTER, wait * (1 + RETRY_JITTER * self.state.random.random()))
 
-    def give_back(self, admitted: Admitted) -> None:
+    def refund(self, admitted: Admitted) -> None:
         """Take back what was counted for a request that did not run."""
         self.state.quotas.book.give_back(admitted, self.state.clock.monotonic())
--- a/packages/daemon/src/sardinequay_daemon/caller_answer.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_answer.py
@@ -44,22 +44,22 @@
 
     def sink(self) -> AnswerSink:
         """Return where the relay puts an answer."""
-        return AnswerSink(self.begin, self.write)
+        return AnswerSink(self.send_head, self.write)
 
-    def taken_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Return the time since the request came, in seconds."""
         return (self.server.clock.monotonic() - self.arrived).total_seconds()
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def send_head(self, head: AnswerHead) -> None:
         """Send the head of a target's answer."""
-        headers = self.server.dialect.returned(head.answer.headers)
+        headers = self.server.dialect.caller_headers(head.answer.headers)
         response = web.StreamResponse(
             status=head.status, reason=head.answer.reason, headers=headers
         )
         if self.server.is_closing:
             response.force_close()
         self.response = response
-        self.first_s = self.taken_s()
+        self.first_s = self.elapsed_s()
         self.server.metrics.first_byte.observe({"route": self.route}, self.first_s)
         await response.prepare(self.http)
 
@@ -69,18 +69,18 @@
         if data:
             await self.response.write(data)
 
-    async def end(self, request_id: str) -> web.StreamResponse:
+    async def finish(self, request_id: str) -> web.StreamResponse:
         """Complete the answer."""
         assert self.response is not None
         await self.response.write_eof()
-        self.note(request_id, "answered", str(self.response.status), "")
+        self.record_end(request_id, "answered", str(self.response.status), "")
         return self.response
 
-    def note(self, request_id: str, event: str, result: str, detail: str) -> None:
+    def record_end(self, request_id: str, event: str, result: str, detail: str) -> None:
         """Log and count how the request ended."""
         metrics = self.server.metrics
         metrics.requests.inc({"route": self.route, "status": result})
-        metrics.whole_answer.observe({"route": self.route}, self.taken_s())
+        metrics.whole_answer.observe({"route": self.route}, self.elapsed_s())
         config = self.server.state.catalogue.config
         log.info(
             event,
@@ -91,7 +91,7 @@
                 "result": result,
                 "detail": detail,
                 "first_s": round(self.first_s, 4),
-                "took_s": round(self.taken_s(), 4),
+                "took_s": round(self.elapsed_s(), 4),
                 "goal_s": self.goal_s,
                 "version": config.version if config else 0,
             },
@@ -100,11 +100,11 @@
     async def refuse(self, request_id: str, refusal: Refusal) -> web.StreamResponse:
         """Give the final answer to a request that no target answered."""
         if self.response is not None:
-            return self.cut_off(request_id, refusal.message)
-        status = status_of(refusal)
+            return self.abort_answer(request_id, refusal.message)
+        status = refusal_status(refusal)
         self.server.metrics.refusals.inc({"reason": refusal.reason.value})
         detail = f"{refusal.reason.value}, {refusal.outcome.value}: {refusal.message}"
-        self.note(request_id, "refused", str(status), detail)
+        self.record_end(request_id, "refused", str(status), detail)
         headers = self.server.dialect.refusal_headers(request_id, refusal)
         response = web.Response(
             status=status, text=refusal.message + "\n", headers=headers
@@ -113,15 +113,15 @@
             response.force_close()
         return response
 
-    def cut_off(self, request_id: str, detail: str) -> web.StreamResponse:
+    def abort_answer(self, request_id: str, detail: str) -> web.StreamResponse:
         """End an answer that had begun so that nobody takes it for a whole one."""
-        self.note(request_id, "cut off", "cut_off", detail)
+        self.record_end(request_id, "cut off", "cut_off", detail)
         if self.http.transport is not None:
             self.http.transport.abort()
         return self.response or web.Response(status=HTTPStatus.BAD_GATEWAY)
 
 
-def status_of(refusal: Refusal) -> int:
+def refusal_status(refusal: Refusal) -> int:
     """Return the status that says no more than what is known.
 
     A request that has not run is told so by 503; of one that may have run nothing is
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Envelope:
+class RequestEnvelope:
     """What every request carries beside its body.
 
     Parameters
@@ -53,7 +53,7 @@
 class ModelRequest:
     """A request for a model."""
 
-    envelope: Envelope
+    envelope: RequestEnvelope
     path: str
     body: bytes
     adapter: AdapterRef
@@ -61,7 +61,7 @@
     stream: bool
 
 
-def guarded_run(envelope: Envelope, method: str, path: str, body: bytes) -> GuardedRun:
+def make_guarded_run(envelope: RequestEnvelope, method: str, path: str, body: bytes) -> GuardedRun:
     """Return a request as far as it concerns whether its content may run."""
     content = content_id(method, "", path, envelope.caller.name, body)
     return GuardedRun(envelope.request_id, content)
@@ -81,7 +81,7 @@
     bundle: Bundle | None,
     limits: LimitSettings,
     now: Instant,
-) -> Result[Envelope, Refusal]:
+) -> Result[RequestEnvelope, Refusal]:
     """Check who calls and under which terms."""
     if bundle is None:
         text = "no bundle is in force yet"
@@ -92,7 +92,7 @@
         return Failure(not_run(Reason.UNAUTHENTICATED, "no known bearer token"))
     key = headers.get(KEY_HEADER, "")
     if KEY_HEADER in headers and not PRINTABLE.fullmatch(key):
-        return Failure(bad_header(KEY_HEADER, key, "1 to 200 printable characters"))
+        return Failure(bad_header_refusal(KEY_HEADER, key, "1 to 200 printable characters"))
     wait = read_deadline(headers, limits)
     if not isinstance(wait, Success):
         return Failure(wait.failure())
@@ -101,11 +101,11 @@
         return Failure(priority.failure())
     deadline = now + wait.unwrap()
     return Success(
-        Envelope(request_id, caller, bundle, priority.unwrap(), deadline, key)
+        RequestEnvelope(request_id, caller, bundle, priority.unwrap(), deadline, key)
     )
 
 
-def bad_header(name: str, value: str, allowed: str) -> Refusal:
+def bad_header_refusal(name: str, value: str, allowed: str) -> Refusal:
     """Return the refusal of a header's value."""
     text = f"{name} is {value[:80]!r}; allowed: {allowed}"
     return not_run(Reason.BAD_HEADER, text)
@@ -124,7 +124,7 @@
         value_s = float("nan")
     if not value_s <= limits.longest_request_s:
         allowed = f"seconds from now, at most {limits.longest_request_s}"
-        return Failure(bad_header(DEADLINE_HEADER, given, allowed))
+        return Failure(bad_header_refusal(DEADLINE_HEADER, given, allowed))
     if value_s <= 0:
         return Failure(not_run(Reason.DEADLINE_EXPIRED, "the deadline has passed"))
     return Success(timedelta(seconds=value_s))
@@ -137,12 +137,12 @@
     )
     if not given.isdigit() or int(given) > MAX_PRIORITY:
         allowed = f"0 to {MAX_PRIORITY}"
-        return Failure(bad_header(PRIORITY_HEADER, given, allowed))
+        return Failure(bad_header_refusal(PRIORITY_HEADER, given, allowed))
     return Success(min(int(given), caller.max_priority))
 
 
 def read_model_request(
-    envelope: Envelope, path: str, body: bytes
+    envelope: RequestEnvelope, path: str, body: bytes
 ) -> Result[ModelRequest, Refusal]:
     """Check the body of a model request and what it names."""
     try:
@@ -165,7 +165,7 @@
     )
 
 
-def find_offered_pool(envelope: Envelope, ref: AdapterRef) -> Result[Pool, Refusal]:
+def find_offered_pool(envelope: RequestEnvelope, ref: AdapterRef) -> Result[Pool, Refusal]:
     """Return the pool of an adapter version, if it is offered to the caller."""
     bundle = envelope.bundle
     adapter = bundle.named(ref.name)
--- a/packages/daemon/src/sardinequay_daemon/caller_server.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_server.py
@@ -28,7 +28,7 @@
     refusal_response,
 )
 from .caller_requests import (
-    Envelope,
+    RequestEnvelope,
     ModelRequest,
     new_request_id,
     read_envelope,
@@ -44,7 +44,7 @@
 
 MODEL_PATHS = ("/v1/completions", "/v1/chat/completions")
 MODELS_PATH = "/v1/models"
-MAX_WHOLE_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536
 log = logging.getLogger(__name__)
 
 
@@ -53,14 +53,14 @@
 
 
 @dataclass(slots=True)
-class Exchange:
+class CallerExchange:
     """One request of a caller, on its way through this host."""
 
     http: web.BaseRequest
     request_id: RequestId
     span: Span
     progress: Progress
-    began: Instant
+    began_at: Instant
     response: web.StreamResponse | None = None
 
 
@@ -110,7 +110,7 @@
         request_id = new_request_id(http.headers)
         span = self.tracing.server_span(f"{http.method} {http.path}", http.headers)
         began = self.clock.monotonic()
-        exchange = Exchange(http, request_id, span, Progress(), began)
+        exchange = CallerExchange(http, request_id, span, Progress(), began)
         try:
             response = await self.answer(exchange)
             self.metrics.requests.inc({"outcome": "answered"})
@@ -136,11 +136,11 @@
             span.set_attribute("request", request_id)
             span.end()
 
-    async def answer(self, exchange: Exchange) -> web.StreamResponse:
+    async def answer(self, exchange: CallerExchange) -> web.StreamResponse:
         """Check, admit and run one request within its deadline."""
         http = exchange.http
         if self.is_stopping:
-            raise RequestRefusedError(shutting_down())
+            raise RequestRefusedError(shutting_down_refusal())
         read = read_envelope(
             http.headers,
             exchange.request_id,
@@ -169,21 +169,21 @@
             self.idle.set()
 
     async def run_within_deadline(
-        self, exchange: Exchange, envelope: Envelope
+        self, exchange: CallerExchange, envelope: RequestEnvelope
     ) -> web.StreamResponse:
         """Run one request, and end it when its time is over."""
         remaining = envelope.deadline - self.clock.monotonic()
         try:
             async with asyncio.timeout(remaining.total_seconds()):
-                return await self.route(exchange, envelope)
+                return await self.route_request(exchange, envelope)
         except TimeoutError as error:
             raise RequestRefusedError(deadline_refusal(exchange.progress)) from error
 
-    async def route(self, exchange: Exchange, envelope: Envelope) -> web.StreamResponse:
+    async def route_request(self, exchange: CallerExchange, envelope: RequestEnvelope) -> web.StreamResponse:
         """Run one request by what its path means."""
         http = exchange.http
         if http.path == MODELS_PATH and http.method == "GET":
-            return self.models(envelope)
+            return self.list_models(envelope)
         body = await self.read_body(http)
         if http.path in MODEL_PATHS and http.method == "POST":
             read = read_model_request(envelope, http.path, body)
@@ -215,14 +215,14 @@
             raise RequestRefusedError(not_run(Reason.TOO_LARGE, text))
         return b"".join(parts)
 
-    def models(self, envelope: Envelope) -> web.Response:
+    def list_models(self, envelope: RequestEnvelope) -> web.Response:
         """Answer with the models that the caller may name."""
         offered = envelope.bundle.offered_to(envelope.caller.name)
         data = [{"id": str(ref), "object": "model"} for ref in offered]
         headers = self.answer_headers(envelope)
         return web.json_response({"object": "list", "data": data}, headers=headers)
 
-    def answer_headers(self, envelope: Envelope) -> dict[str, str]:
+    def answer_headers(self, envelope: RequestEnvelope) -> dict[str, str]:
         """Return the headers that every good answer carries."""
         return {
             REQUEST_HEADER: envelope.request_id,
@@ -231,28 +231,28 @@
         }
 
     async def run_model(
-        self, exchange: Exchange, request: ModelRequest
+        self, exchange: CallerExchange, request: ModelRequest
     ) -> web.StreamResponse:
         """Run a model request, streamed or in one piece."""
         headers = self.answer_headers(request.envelope)
         headers[ADAPTER_HEADER] = str(request.adapter)
-        events = self.dispatcher.events(request, exchange.progress, exchange.span)
+        events = self.dispatcher.stream_events(request, exchange.progress, exchange.span)
         async with aclosing(events) as parts:
             if request.stream:
                 headers["Content-Type"] = "text/event-stream"
                 headers["Cache-Control"] = "no-store"
                 async for part in parts:
                     await self.write(exchange, 200, headers, part.data)
-                return await self.end(exchange)
+                return await self.finish_stream(exchange)
             whole = CompletionAssembler()
             async for part in parts:
-                whole.take(part.data)
+                whole.add_events(part.data)
         return web.Response(
             body=whole.body(), headers=headers, content_type="application/json"
         )
 
     async def run_service(
-        self, exchange: Exchange, request: ServiceRequest
+        self, exchange: CallerExchange, request: ServiceRequest
     ) -> web.StreamResponse:
         """Run a request for a plain service and pass its answer through."""
         forward = self.forwarder.forward(request, exchange.progress, exchange.span)
@@ -260,22 +260,22 @@
             headers = end_to_end_headers(answer.headers)
             headers.update(self.answer_headers(request.envelope))
             length = answer.content_length
-            is_small = length is not None and length <= MAX_WHOLE_BYTES
+            is_small = length is not None and length <= MAX_BUFFERED_BYTES
             if is_small and request.method != "HEAD":
                 # Small answers go out in one piece, which spares writes.
                 body = await answer.read()
-                self.observe_first_byte(exchange)
+                self.record_first_byte(exchange)
                 return web.Response(status=answer.status, headers=headers, body=body)
             if length is not None:
                 headers["Content-Length"] = str(length)
             await self.write(exchange, answer.status, headers, b"")
             async for data in answer.content.iter_any():
                 await self.write(exchange, answer.status, headers, data)
-        return await self.end(exchange)
+        return await self.finish_stream(exchange)
 
     async def write(
         self,
-        exchange: Exchange,
+        exchange: CallerExchange,
         status: int,
         headers: Mapping[str, str],
         data: bytes,
@@ -285,19 +285,19 @@
             if exchange.response is None:
                 response = web.StreamResponse(status=status, headers=headers)
                 exchange.response = response
-                self.observe_first_byte(exchange)
+                self.record_first_byte(exchange)
                 await response.prepare(exchange.http)
             if data:
                 await exchange.response.write(data)
         except (OSError, aiohttp.ClientError) as error:
             raise CallerGoneError from error
 
-    def observe_first_byte(self, exchange: Exchange) -> None:
+    def record_first_byte(self, exchange: CallerExchange) -> None:
         """Count the time to the first byte of an answer."""
-        took = self.clock.monotonic() - exchange.began
+        took = self.clock.monotonic() - exchange.began_at
         self.metrics.first_byte.observe({}, took.total_seconds())
 
-    async def end(self, exchange: Exchange) -> web.StreamResponse:
+    async def finish_stream(self, exchange: CallerExchange) -> web.StreamResponse:
         """End a streamed answer."""
         assert exchange.response is not None
         try:
@@ -306,7 +306,7 @@
             raise CallerGoneError from error
         return exchange.response
 
-    async def refuse(self, exchange: Exchange, refusal: Refusal) -> web.StreamResponse:
+    async def refuse(self, exchange: CallerExchange, refusal: Refusal) -> web.StreamResponse:
         """Give a request its final answer at once."""
         self.metrics.requests.inc({"outcome": refusal.outcome.value})
         self.metrics.refusals.inc({"reason": refusal.reason.value})
@@ -321,9 +321,9 @@
         log.info("request refused", extra=details)
         if exchange.response is None:
             return refusal_response(refusal, exchange.request_id)
-        return await self.cut_off(exchange, refusal)
+        return await self.abort_answer(exchange, refusal)
 
-    async def cut_off(self, exchange: Exchange, refusal: Refusal) -> web.StreamResponse:
+    async def abort_answer(self, exchange: CallerExchange, refusal: Refusal) -> web.StreamResponse:
         """End an answer that had begun, so that nobody takes it for a whole one."""
         response = exchange.response
         assert response is not None
@@ -331,7 +331,7 @@
             event = refusal_event(refusal, exchange.request_id)
             try:
                 await self.write(exchange, response.status, {}, event)
-                return await self.end(exchange)
+                return await self.finish_stream(exchange)
             except CallerGoneError:
                 return response
         if exchange.http.transport is not None:
@@ -339,7 +339,7 @@
         return response
 
 
-def shutting_down() -> Refusal:
+def shutting_down_refusal() -> Refusal:
     """Return the refusal of a host that is stopping."""
     text = "this host is stopping; another one serves you"
     return not_run(Reason.SHUTTING_DOWN, text, timedelta(seconds=1))
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -18,7 +18,7 @@
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
 from sardinequay_core.views import GuardAddress, View, home_of, view_of
 
-from .caller_requests import Envelope
+from .caller_requests import RequestEnvelope
 from .journal import Journal
 from .metrics import Metrics
 from .peers import PeerCaller
@@ -72,7 +72,7 @@
 
     @asynccontextmanager
     async def guarded(
-        self, envelope: Envelope, progress: Progress, parent: Span
+        self, envelope: RequestEnvelope, progress: Progress, parent: Span
     ) -> AsyncIterator[None]:
         """Hold a request's key while it runs; raises `RequestRefusedError` if it is not won."""
         won = await self.claim_for(envelope, parent)
@@ -84,7 +84,7 @@
             if won is not None:
                 self.settle(won, Outcome.RAN if ran else progress.outcome)
 
-    async def claim_for(self, envelope: Envelope, parent: Span) -> WonClaim | None:
+    async def claim_for(self, envelope: RequestEnvelope, parent: Span) -> WonClaim | None:
         """Claim a request's key; one without a key may be repeated and holds none."""
         if not envelope.key:
             return None
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -20,7 +20,7 @@
 from sardinequay_core.names import Address, PoolName
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
 
-from .caller_requests import ModelRequest, guarded_run
+from .caller_requests import ModelRequest, make_guarded_run
 from .claimer import Claimer
 from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .engines import EngineRequest, HttpEngines, events_of
@@ -49,7 +49,7 @@
         self.policy = policy
         self.budgets: dict[PoolName, RetryBudget] = {}
 
-    def of(self, pool: PoolName) -> RetryBudget:
+    def for_pool(self, pool: PoolName) -> RetryBudget:
         """Return a pool's budget."""
         return self.budgets.setdefault(pool, RetryBudget(self.policy))
 
@@ -84,7 +84,7 @@
         async with self.engines.start(self.address, message) as answer:
             ran = answer.headers.get(ADAPTER_HEADER)
             if ran != str(self.request.adapter):
-                raise RequestRefusedError(wrong_adapter(ran))
+                raise RequestRefusedError(wrong_adapter_refusal(ran))
             async with aclosing(events_of(answer)) as parts:
                 async for part in parts:
                     yield part
@@ -122,14 +122,14 @@
         self.metrics = metrics
         self.journal = journal
 
-    async def events(
+    async def stream_events(
         self, request: ModelRequest, progress: Progress, span: Span
     ) -> AsyncGenerator[EventBatch, None]:
         """Yield the answer's events; raises `RequestRefusedError` when it cannot be completed."""
-        run = guarded_run(request.envelope, "POST", request.path, request.body)
+        run = make_guarded_run(request.envelope, "POST", request.path, request.body)
         async with self.claimer.guarded(request.envelope, progress, span):
             try:
-                attempts = self.attempts(request, progress, span, run)
+                attempts = self.events_with_retries(request, progress, span, run)
                 async with aclosing(attempts) as events:
                     async for part in events:
                         yield part
@@ -137,18 +137,18 @@
             finally:
                 self.guard.release_permit(run)
 
-    async def attempts(
+    async def events_with_retries(
         self, request: ModelRequest, progress: Progress, span: Span, run: GuardedRun
     ) -> AsyncGenerator[EventBatch, None]:
         """Yield events from one engine after another until the answer is whole."""
-        budget = self.budgets.of(request.pool.name)
+        budget = self.budgets.for_pool(request.pool.name)
         budget.first_attempt()
         while True:
             # An engine's end also counts against the request, which would else end one
             # engine after the other.
             await self.guard.wait_for_verdict(run, MAX_PROBE_WAIT_S)
             self.guard.refuse_if_held(run)
-            use = await self.obtain(request, span)
+            use = await self.obtain_lease(request, span)
             if not await self.guard.may_run(run):
                 continue
             # A process that was frozen must not act on a claim that may have expired.
@@ -173,7 +173,7 @@
             finally:
                 self.leases.end(use)
 
-    async def obtain(self, request: ModelRequest, parent: Span) -> Use:
+    async def obtain_lease(self, request: ModelRequest, parent: Span) -> Use:
         """Obtain a lease on an engine that holds the adapter."""
         envelope = request.envelope
         leased = self.leases.best(request.adapter)
@@ -268,7 +268,7 @@
         if may_retry and budget.spend(progress.attempts):
             self.metrics.retries.inc({"pool": request.pool.name})
             return
-        raise RequestRefusedError(refusal_of(error, progress))
+        raise RequestRefusedError(final_engine_refusal(error, progress))
 
 
 def run_id(request: ModelRequest, progress: Progress) -> str:
@@ -287,13 +287,13 @@
         raise TargetError(TargetFault.BROKEN, detail)
 
 
-def wrong_adapter(ran: str | None) -> Refusal:
+def wrong_adapter_refusal(ran: str | None) -> Refusal:
     """Return the refusal of an answer by another adapter than the one named."""
     text = f"the engine ran {ran!r} instead of the adapter that was named"
     return Refusal(Reason.WRONG_ADAPTER, Outcome.RAN, text)
 
 
-def refusal_of(error: TargetError, progress: Progress) -> Refusal:
+def final_engine_refusal(error: TargetError, progress: Progress) -> Refusal:
     """Return the final answer after a failed attempt that is not repeated."""
     if progress.last_event:
         return Refusal(Reason.ANSWER_LOST, Outcome.RAN, f"answer lost: {error}")
--- a/packages/daemon/src/sardinequay_daemon/engines.py
+++ b/packages/daemon/src/sardinequay_daemon/engines.py
@@ -200,16 +200,16 @@
     def __init__(self, engines: Engines) -> None:
         self.engines = engines
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         """Return what a target shows; its starts are not told apart here."""
         if target.kind is not TargetKind.ENGINE:
-            return ProbeResult.SOUND
+            return ProbeResult.HEALTHY
         try:
             async with asyncio.timeout(LOOK_S):
                 report = await self.engines.report(target)
         except TimeoutError:
-            return ProbeResult.SILENT
-        return ProbeResult.SOUND if isinstance(report, Success) else ProbeResult.FAILING
+            return ProbeResult.NO_ANSWER
+        return ProbeResult.HEALTHY if isinstance(report, Success) else ProbeResult.UNHEALTHY
 
 
 async def events_of(answer: aiohttp.ClientResponse) -> AsyncGenerator[EventBatch, None]:
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -231,7 +231,7 @@
                     EngineLooks(engines),
                     lambda _: False,
                     lambda _: "",
-                ).lives,
+                ).is_alive,
                 lambda target: self.roster.roster.is_live(target),
                 lambda pool: self.metrics.target_ends.inc({"pool": pool}),
             ),
@@ -295,7 +295,7 @@
         rosters.subscribe(self.membership.take_roster)
         rosters.subscribe(self.claimer.take_roster)
         rosters.subscribe(self.leases.take_roster)
-        rosters.subscribe(self.forwarder.take_roster)
+        rosters.subscribe(self.forwarder.apply_roster)
         rosters.subscribe(self.hear_roster)
         self.roster.direct_reads.subscribe(self.guard.take_list)
         self.membership.live.subscribe(self.leases.take_members)
@@ -321,7 +321,7 @@
         server.register(FetchBlobs, self.rollout.answer_blobs)
         server.register(FetchRoster, self.roster.answer_fetch)
         server.register(Recall, self.leases.answer_recall)
-        server.register(ContentsTold, self.spread.answer)
+        server.register(ContentsTold, self.spread.handle_contents_told)
         server.register(AskPermit, self.content_guard.handle_ask_permit)
         server.register(PermitBack, self.content_guard.handle_permit_back)
         for guarded in GUARD_MESSAGES:
--- a/packages/daemon/src/sardinequay_daemon/progress.py
+++ b/packages/daemon/src/sardinequay_daemon/progress.py
@@ -31,24 +31,24 @@
 
     attempts: int = 0
     not_loaded: int = 0
-    under_way: bool = False
+    attempt_in_flight: bool = False
     is_uncertain: bool = False
     last_event: int = 0
 
     def begin_attempt(self) -> None:
         """Note that bytes may leave for a target from now on."""
         self.attempts += 1
-        self.under_way = True
+        self.attempt_in_flight = True
 
     def end_attempt(self, proves_not_run: bool) -> None:
         """Note that an attempt failed, and what that proves."""
-        self.under_way = False
+        self.attempt_in_flight = False
         self.is_uncertain = self.is_uncertain or not proves_not_run
 
     @property
     def may_have_run(self) -> bool:
         """Return whether any attempt may have run."""
-        return self.under_way or self.is_uncertain
+        return self.attempt_in_flight or self.is_uncertain
 
     @property
     def outcome(self) -> Outcome:
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -79,27 +79,27 @@
             await self.has_unsent.wait()
             await asyncio.sleep(BATCH_DELAY_S)
             self.has_unsent.clear()
-            told = ContentsTold(self.news(self.untold))
+            told = ContentsTold(self.content_updates(self.untold))
             self.untold = set()
-            for address in self.others():
-                task = asyncio.create_task(self.tell(address, told))
+            for address in self.other_addresses():
+                task = asyncio.create_task(self.send_to(address, told))
                 self.telling.add(task)
                 task.add_done_callback(self.telling.discard)
 
-    def others(self) -> list[Address]:
+    def other_addresses(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
         me = self.membership.membership.me.address
         here = {m.address for m in self.membership.live.value}
         elsewhere = {h.peer_address for h in self.membership.remote_hosts()}
         return sorted((here | elsewhere) - {me})
 
-    async def tell(self, address: Address, told: ContentsTold) -> None:
+    async def send_to(self, address: Address, told: ContentsTold) -> None:
         """Tell one host; one that misses it asks."""
         await self.peers.call(address, told)
 
     async def pull_from_peer(self) -> None:
         """Ask any host for all that it knows."""
-        others = self.others()
+        others = self.other_addresses()
         if not others:
             return
         ask = ContentsTold((), wants_all=True)
@@ -108,13 +108,13 @@
         if isinstance(reply, ContentsReply):
             self.heard.on_next(reply.contents)
 
-    async def answer(self, told: ContentsTold) -> ContentsReply:
+    async def handle_contents_told(self, told: ContentsTold) -> ContentsReply:
         """Take what a host tells, and answer what it asks."""
         self.heard.on_next(told.contents)
         known = self.quarantine.suspicions if told.wants_all else ()
-        return ContentsReply(self.news(known))
+        return ContentsReply(self.content_updates(known))
 
-    def news(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
+    def content_updates(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
         """Return what is known against some contents."""
         now = self.clock.monotonic()
         return tuple(content_update(self.quarantine, c, now) for c in sorted(contents))
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -131,7 +131,7 @@
             config, route = self.find_route(http)
             answer.route = route.name
             answer.goal_s = route.goal.total_seconds()
-            asks = self.gate.organisation(config, route, terms)
+            asks = self.gate.authenticate(config, route, terms)
             answer.organisation = asks.name if asks is not None else ""
             self.refuse_if_closing(route)
             admitted = None if asks is None else self.gate.admit(asks, terms)
@@ -141,15 +141,15 @@
             finally:
                 self.bodies_bytes -= len(exchange.body)
                 exchange.span.end()
-            return await answer.end(request_id)
+            return await answer.finish(request_id)
         except RequestRefusedError as refused:
             if admitted is not None and refused.refusal.outcome is Outcome.NOT_RUN:
-                self.gate.give_back(admitted)
+                self.gate.refund(admitted)
             return await answer.refuse(request_id, refused.refusal)
         except AnswerCutOffError:
-            return answer.cut_off(request_id, "the target's answer broke off")
+            return answer.abort_answer(request_id, "the target's answer broke off")
         except (ConnectionError, aiohttp.ClientError) as error:
-            return answer.cut_off(request_id, f"the caller is gone: {error!r}")
+            return answer.abort_answer(request_id, f"the caller is gone: {error!r}")
         except asyncio.CancelledError:
             log.info("caller left", extra={"request": request_id})
             raise
@@ -163,7 +163,7 @@
             raise RequestRefusedError(not_run(Reason.HEADERS_TOO_LARGE, text))
         if not http.raw_path.startswith("/"):
             raise RequestRefusedError(not_run(Reason.MALFORMED, "the target is no path"))
-        read = self.dialect.terms(http.headers)
+        read = self.dialect.parse_terms(http.headers)
         if not isinstance(read, Success):
             raise RequestRefusedError(read.failure())
         terms: RequestTerms = read.unwrap()
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -18,7 +18,7 @@
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
 from sardinequay_core.roster import EMPTY_ROSTER, Presence, Roster, Target
 
-from .caller_requests import Envelope, guarded_run
+from .caller_requests import RequestEnvelope, make_guarded_run
 from .claimer import Claimer, WonClaim
 from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .dispatch import RetryBudgets
@@ -45,8 +45,8 @@
         "content-length",
     }
 )
-AVOID_FOR = timedelta(seconds=3)
-RETRY_AFTER = timedelta(seconds=1)
+AVOID_DURATION = timedelta(seconds=3)
+NO_TARGET_RETRY_AFTER = timedelta(seconds=1)
 log = logging.getLogger(__name__)
 
 
@@ -54,7 +54,7 @@
 class ServiceRequest:
     """A request for a plain service."""
 
-    envelope: Envelope
+    envelope: RequestEnvelope
     service: Service
     method: str
     path: str
@@ -99,7 +99,7 @@
         self.in_flight: dict[TargetId, int] = {}
         self.avoided: dict[TargetId, Instant] = {}
 
-    def take_roster(self, roster: Roster) -> None:
+    def apply_roster(self, roster: Roster) -> None:
         """Take the list; targets that leave get no new work from now on."""
         self.roster = roster
 
@@ -109,7 +109,7 @@
         """Return the way of one request to a target and of its answer back."""
         return ForwardedRequest(self, request, progress, span)
 
-    def count(self, target: Target, change: int) -> None:
+    def count_in_flight(self, target: Target, change: int) -> None:
         """Count a request in or out at a target."""
         name = target.target_id
         self.in_flight[name] = self.in_flight.get(name, 0) + change
@@ -125,7 +125,7 @@
         usable = [t for t in live if self.avoided.get(t.target_id, now) <= now]
         if not live:
             text = "no target of the service is live"
-            raise RequestRefusedError(not_run(Reason.NO_TARGET, text, RETRY_AFTER))
+            raise RequestRefusedError(not_run(Reason.NO_TARGET, text, NO_TARGET_RETRY_AFTER))
         return min(
             usable or live,
             key=lambda t: (self.in_flight.get(t.target_id, 0), self.random.random()),
@@ -139,7 +139,7 @@
         error: TargetError,
     ) -> None:
         """Permit another attempt by returning, or raise the request's failure."""
-        self.avoided[target.target_id] = self.clock.monotonic() + AVOID_FOR
+        self.avoided[target.target_id] = self.clock.monotonic() + AVOID_DURATION
         self.journal.note(
             request.envelope.request_id,
             "failed",
@@ -148,7 +148,7 @@
         )
         progress.end_attempt(error.proves_not_run)
         if not error.proves_not_run and not request.is_repeatable:
-            raise RequestRefusedError(refusal_of(error, progress)) from error
+            raise RequestRefusedError(final_service_refusal(error, progress)) from error
 
     async def send(
         self, target: Target, request: ServiceRequest, span: Span, is_first: bool
@@ -201,14 +201,14 @@
         self.progress = progress
         self.span = span
         self.claim: WonClaim | None = None
-        self.run = guarded_run(
+        self.run = make_guarded_run(
             request.envelope, request.method, request.path, request.body
         )
         self.target: Target | None = None
         self.answer: aiohttp.ClientResponse | None = None
         self.sent_at = forwarder.clock.monotonic()
 
-    def ran_s(self) -> float:
+    def attempt_age_s(self) -> float:
         """Return how long ago the last attempt began, in seconds."""
         return (self.forwarder.clock.monotonic() - self.sent_at).total_seconds()
 
@@ -217,9 +217,9 @@
         claimer, envelope = self.forwarder.claimer, self.request.envelope
         self.claim = await claimer.claim_for(envelope, self.span)
         try:
-            self.answer = await self.attempt_all()
+            self.answer = await self.send_with_retries()
         except BaseException:
-            self.settle(ran=False)
+            self.settle_claim(ran=False)
             self.forwarder.guard.release_permit(self.run)
             raise
         self.progress.last_event = 1
@@ -231,29 +231,29 @@
         """Settle the key and give the connection back, or close a broken one."""
         assert self.answer is not None
         assert self.target is not None
-        self.settle(ran=error is None)
-        self.forwarder.count(self.target, -1)
+        self.settle_claim(ran=error is None)
+        self.forwarder.count_in_flight(self.target, -1)
         self.answer.release() if error is None else self.answer.close()
         if error is None:
             self.forwarder.guard.record_answer(self.run.content)
         elif isinstance(error, BROKEN_ERRORS):
-            self.forwarder.guard.handle_broken_connection(self.run, self.target, 0, self.ran_s())
+            self.forwarder.guard.handle_broken_connection(self.run, self.target, 0, self.attempt_age_s())
         self.forwarder.guard.release_permit(self.run)
         if isinstance(error, BROKEN_ERRORS):
             text = f"the answer was cut off: {error!r}"
             lost = Refusal(Reason.ANSWER_LOST, Outcome.RAN, text)
             raise RequestRefusedError(lost) from error
 
-    def settle(self, ran: bool) -> None:
+    def settle_claim(self, ran: bool) -> None:
         """Tell the guards what became of a claimed request."""
         if self.claim is not None:
             outcome = Outcome.RAN if ran else self.progress.outcome
             self.forwarder.claimer.settle(self.claim, outcome)
 
-    async def attempt_all(self) -> aiohttp.ClientResponse:
+    async def send_with_retries(self) -> aiohttp.ClientResponse:
         """Send the request to one target after another until one answers."""
         forwarder, request, progress = self.forwarder, self.request, self.progress
-        budget = forwarder.budgets.of(request.service.pool)
+        budget = forwarder.budgets.for_pool(request.service.pool)
         budget.first_attempt()
         guard, run = forwarder.guard, self.run
         while True:
@@ -269,7 +269,7 @@
                 raise RequestRefusedError(deadline_refusal(progress))
             progress.begin_attempt()
             self.sent_at = forwarder.clock.monotonic()
-            forwarder.count(target, 1)
+            forwarder.count_in_flight(target, 1)
             try:
                 with forwarder.tracing.child_span("service", self.span) as span:
                     is_first = progress.attempts == 1
@@ -278,15 +278,15 @@
                 return answer
             except TargetError as error:
                 if not error.proves_not_run:
-                    guard.handle_broken_connection(run, target, 0, self.ran_s())
+                    guard.handle_broken_connection(run, target, 0, self.attempt_age_s())
                     run.may_have_run = True
                 forwarder.after_failure(request, target, progress, error)
                 if not budget.spend(progress.attempts):
-                    raise RequestRefusedError(refusal_of(error, progress)) from error
+                    raise RequestRefusedError(final_service_refusal(error, progress)) from error
                 forwarder.metrics.retries.inc({"pool": request.service.pool})
             finally:
                 if self.target is None:
-                    forwarder.count(target, -1)
+                    forwarder.count_in_flight(target, -1)
 
 
 def end_to_end_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
@@ -298,7 +298,7 @@
     return passed
 
 
-def refusal_of(error: TargetError, progress: Progress) -> Refusal:
+def final_service_refusal(error: TargetError, progress: Progress) -> Refusal:
     """Return the final answer after a failed attempt that is not repeated."""
     if progress.may_have_run:
         text = f"the service's answer was lost: {error}"
@@ -307,4 +307,4 @@
     if error.fault is TargetFault.NOT_SENT:
         reason = Reason.TARGET_UNREACHABLE
     text = f"no target took the request: {error}"
-    return not_run(reason, text, RETRY_AFTER)
+    return not_run(reason, text, NO_TARGET_RETRY_AFTER)
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -178,7 +178,7 @@
                     deployment.engines,
                     self.state.is_busy,
                     self.state.health_path,
-                ).lives,
+                ).is_alive,
                 lambda target: self.state.catalogue.is_live(target),
                 lambda pool: self.metrics.target_ends.inc({"pool": pool}),
             ),
--- a/packages/daemon/src/sardinequay_daemon/serving_ports.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_ports.py
@@ -112,18 +112,18 @@
 class HttpDialect(Protocol):
     """How requests and answers are spelled."""
 
-    def terms(self, headers: Headers) -> Result[RequestTerms, Refusal]:
+    def parse_terms(self, headers: Headers) -> Result[RequestTerms, Refusal]:
         """Read what a request says of itself."""
 
-    def forwarded(
+    def target_headers(
         self, headers: Headers, request: RequestTerms, send: SendTerms
     ) -> CIMultiDict[str]:
         """Return the headers to send to a target."""
 
-    def facts(self, status: int, headers: Headers) -> AnswerFacts:
+    def read_facts(self, status: int, headers: Headers) -> AnswerFacts:
         """Read the head of an answer."""
 
-    def returned(self, headers: Headers) -> CIMultiDict[str]:
+    def caller_headers(self, headers: Headers) -> CIMultiDict[str]:
         """Return the headers of a target's answer that the caller gets."""
 
     def refusal_headers(self, request_id: str, refusal: Refusal) -> dict[str, str]:
@@ -215,7 +215,7 @@
     ) -> Result[OrderAccepted | OrderRefused, PlatformError]:
         """Give an engine an order; a failure leaves open whether it was accepted."""
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         """Return what a target shows of the start that had a request."""
 
 
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -86,12 +86,12 @@
         key = (target.target_id, broken.incarnation)
         asking = self.asking.get(key)
         if asking is None:
-            asking = asyncio.create_task(self.ask(target, broken.incarnation))
+            asking = asyncio.create_task(self.probe_end(target, broken.incarnation))
             self.asking[key] = asking
             asking.add_done_callback(lambda _: self.asking.pop(key, None))
         has_ended = await asyncio.shield(asking)
         if has_ended:
-            self.note(broken)
+            self.log_target_end(broken)
         else:
             self.presumed_alive.append(broken)
         return has_ended
@@ -104,10 +104,10 @@
         shown = [b for b in self.presumed_alive if has_started_again(b, catalogue)]
         for broken in shown:
             self.presumed_alive.remove(broken)
-            self.note(broken)
+            self.log_target_end(broken)
         return shown
 
-    async def ask(self, target: Target, incarnation: int) -> bool:
+    async def probe_end(self, target: Target, incarnation: int) -> bool:
         """Return whether a start of a target has ended."""
         await asyncio.sleep(PROBE_DELAY_S)
         has_ended = not await self.lives(target, incarnation)
@@ -115,7 +115,7 @@
             self.note_end(target.pool)
         return has_ended
 
-    def note(self, broken: InterruptedRequest) -> None:
+    def log_target_end(self, broken: InterruptedRequest) -> None:
         """Log that a target ended under a request."""
         log.warning(
             "target ended",
--- a/packages/daemon/src/sardinequay_daemon/target_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/target_probe.py
@@ -16,17 +16,17 @@
 class ProbeResult(Enum):
     """What a target shows when it is asked about itself."""
 
-    SOUND = "sound"
-    ANOTHER_START = "another_start"
-    FAILING = "failing"
-    REFUSING = "refusing"
-    SILENT = "silent"
+    HEALTHY = "sound"
+    RESTARTED = "another_start"
+    UNHEALTHY = "failing"
+    REFUSED = "refusing"
+    NO_ANSWER = "silent"
 
 
 class StatusProbe(Protocol):
     """Asks a target about itself."""
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         """Return what a target shows of the start that had a request.
 
         Parameters
@@ -62,12 +62,12 @@
         self.is_busy = is_busy
         self.health_path = health_path
 
-    async def lives(self, target: Target, incarnation: int) -> bool:
+    async def is_alive(self, target: Target, incarnation: int) -> bool:
         """Return whether the start of a target that had a request still lives."""
         if not await self.accepts(target.address):
             return False
         path = self.health_path(target.pool)
-        sign = await self.looks.look(target, incarnation, path)
-        if sign in (ProbeResult.REFUSING, ProbeResult.SILENT):
+        sign = await self.looks.probe_status(target, incarnation, path)
+        if sign in (ProbeResult.REFUSED, ProbeResult.NO_ANSWER):
             return self.is_busy(target.target_id)
-        return sign is ProbeResult.SOUND
+        return sign is ProbeResult.HEALTHY
--- a/packages/daemon/src/sardinequay_daemon/upstream.py
+++ b/packages/daemon/src/sardinequay_daemon/upstream.py
@@ -19,11 +19,11 @@
 from .single_send import CountedSend, client_session, connection_reuse_trace
 from .target_errors import TargetErrorTranslator
 
-IDLE_CONNECTION_S = 3.0
+KEEPALIVE_S = 3.0
 """How long a connection is kept for another request. Targets keep theirs longer; what
 a connection that went silent costs grows with this."""
 
-MAX_WHOLE_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536
 """Answers up to this are read whole before the caller gets any of them."""
 
 SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
@@ -79,7 +79,7 @@
 
     def __init__(self, source_ip: str) -> None:
         self.pooled = make_session(
-            UpstreamConnector(source_ip, keepalive_timeout=IDLE_CONNECTION_S)
+            UpstreamConnector(source_ip, keepalive_timeout=KEEPALIVE_S)
         )
         self.fresh = make_session(UpstreamConnector(source_ip, force_close=True))
 
@@ -106,13 +106,13 @@
         TargetError
             If no head came; the fault says whether the target may have run it.
         """
-        answer = await self.head(address, request, head_within_s, note_send)
+        answer = await self.wait_for_head(address, request, head_within_s, note_send)
         try:
             yield answer
         finally:
             answer.close()
 
-    async def head(
+    async def wait_for_head(
         self,
         address: Address,
         request: UpstreamRequest,
--- a/packages/daemon/tests/test_caller_requests.py
+++ b/packages/daemon/tests/test_caller_requests.py
@@ -20,7 +20,7 @@
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import CallerName, PoolName, RequestId
 from sardinequay_daemon.caller_requests import (
-    Envelope,
+    RequestEnvelope,
     new_request_id,
     read_envelope,
     read_model_request,
--- a/packages/daemon/tests/test_events.py
+++ b/packages/daemon/tests/test_events.py
@@ -37,8 +37,8 @@
 def test_chunks_of_a_completion_become_one_text() -> None:
     whole = CompletionAssembler()
     for text in ("a ", "b"):
-        whole.take(chunk({"text": text}, "text_completion"))
-    whole.take(b"data: [DONE]\n\n")
+        whole.add_events(chunk({"text": text}, "text_completion"))
+    whole.add_events(b"data: [DONE]\n\n")
     body = json.loads(whole.body())
     assert body["object"] == "text_completion"
     assert body["choices"] == [{"index": 0, "text": "a b"}]
@@ -47,7 +47,7 @@
 def test_chunks_of_a_chat_become_one_message() -> None:
     whole = CompletionAssembler()
     for text in ("a ", "b"):
-        whole.take(chunk({"delta": {"content": text}}, "chat.completion.chunk"))
+        whole.add_events(chunk({"delta": {"content": text}}, "chat.completion.chunk"))
     body = json.loads(whole.body())
     assert body["object"] == "chat.completion"
     message = {"role": "assistant", "content": "a b"}
--- a/packages/daemon/tests/test_quarantine_replicator.py
+++ b/packages/daemon/tests/test_quarantine_replicator.py
@@ -67,7 +67,7 @@
         self.messages += 1
         if self.is_cut:
             return Failure(PeerError(str(address), "cut"))
-        return Success(await self.spreads[address].answer(message))
+        return Success(await self.spreads[address].handle_contents_told(message))
 
 
 @pytest.fixture
--- a/packages/daemon/tests/test_target_end_detector.py
+++ b/packages/daemon/tests/test_target_end_detector.py
@@ -41,7 +41,7 @@
         self.is_up = False
         self.count = 0
 
-    async def lives(self, _: Target, incarnation: int) -> bool:
+    async def is_alive(self, _: Target, incarnation: int) -> bool:
         self.count += 1
         return self.is_up
 
@@ -64,7 +64,7 @@
 
 @pytest.fixture
 def watch(asked: Asked, live: set[TargetId], ended: list[PoolName]) -> TargetEndDetector:
-    return TargetEndDetector(asked.lives, live.__contains__, ended.append)
+    return TargetEndDetector(asked.is_alive, live.__contains__, ended.append)
 
 
 async def test_target_that_takes_no_connection_has_ended(watch) -> None:
@@ -112,7 +112,7 @@
     def __init__(self, sign: ProbeResult) -> None:
         self.sign = sign
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         return self.sign
 
 
@@ -123,19 +123,19 @@
 @pytest.mark.parametrize(
     ("sign", "is_busy", "lives"),
     [
-        (ProbeResult.SOUND, False, True),
-        (ProbeResult.SOUND, True, True),
-        (ProbeResult.ANOTHER_START, True, False),
-        (ProbeResult.FAILING, True, False),
-        (ProbeResult.REFUSING, False, False),
-        (ProbeResult.REFUSING, True, True),
-        (ProbeResult.SILENT, False, False),
-        (ProbeResult.SILENT, True, True),
+        (ProbeResult.HEALTHY, False, True),
+        (ProbeResult.HEALTHY, True, True),
+        (ProbeResult.RESTARTED, True, False),
+        (ProbeResult.UNHEALTHY, True, False),
+        (ProbeResult.REFUSED, False, False),
+        (ProbeResult.REFUSED, True, True),
+        (ProbeResult.NO_ANSWER, False, False),
+        (ProbeResult.NO_ANSWER, True, True),
     ],
 )
 async def test_what_a_target_shows_is_weighed(sign, is_busy, lives) -> None:
     probe = TargetProbe(accepts, Shows(sign), lambda _: is_busy, lambda _: "/health")
-    assert await probe.lives(broken("c").target, 7) is lives
+    assert await probe.is_alive(broken("c").target, 7) is lives
 
 
 def listed(name: str, incarnation: int) -> Catalogue:
