--- a/packages/daemon/src/sardinequay_daemon/answers.py
+++ b/packages/daemon/src/sardinequay_daemon/answers.py
@@ -81,9 +81,9 @@
             delta = choice.get("delta") or {}
             text = choice.get("text") or delta.get("content") or ""
             self.texts.setdefault(index, []).append(text)
-            kept = self.choices.setdefault(index, {"index": index})
-            kept.update({k: v for k, v in choice.items() if k not in ("text", "delta")})
-            kept.setdefault("is_chat", "delta" in choice)
+            merged = self.choices.setdefault(index, {"index": index})
+            merged.update({k: v for k, v in choice.items() if k not in ("text", "delta")})
+            merged.setdefault("is_chat", "delta" in choice)
 
     def body(self) -> bytes:
         """Return the whole answer as JSON."""
@@ -95,8 +95,8 @@
 
     def whole_choice(self, index: int) -> dict[str, Any]:
         """Return one choice with its whole text."""
-        kept = dict(self.choices[index])
+        merged = dict(self.choices[index])
         text = "".join(self.texts[index])
-        if kept.pop("is_chat"):
-            return {**kept, "message": {"role": "assistant", "content": text}}
-        return {**kept, "text": text}
+        if merged.pop("is_chat"):
+            return {**merged, "message": {"role": "assistant", "content": text}}
+        return {**merged, "text": text}
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -72,7 +72,7 @@
         self.adapter = self.find_adapter()
         self.sent_at = self.clock.monotonic()
         self.expected_s = 0.0
-        self.usual_s = 0.0
+        self.typical_s = 0.0
         self.has_first_event = False
         self.was_served = False
         self.trace_headers: dict[str, str] = {}
@@ -89,7 +89,7 @@
         loads = self.state.loads
         now = self.clock.monotonic()
         self.expected_s = loads.first_event_s(self.target_id, self.tokens, now)
-        self.usual_s = loads.usual_s(self.target_id, self.tokens, now)
+        self.typical_s = loads.usual_s(self.target_id, self.tokens, now)
         loads.begin(self.target_id, self.tokens)
         if not self.tokens:
             self.record_first_event()
@@ -261,10 +261,10 @@
         is_failure = answer.status >= SERVER_ERROR
         if is_failure:
             self.record_verdict(Verdict.FAILED)
-            so_far = exchange.attempts_so_far.after(AttemptEnd.MAY_HAVE_RUN)
+            attempts = exchange.attempts_so_far.after(AttemptEnd.MAY_HAVE_RUN)
             if exchange.answer_started or (
                 exchange.route.repetition.may_run_again
-                and so_far.runs < exchange.route.max_runs
+                and attempts.runs < exchange.route.max_runs
             ):
                 return AttemptEnd.MAY_HAVE_RUN
         if exchange.route.repetition.is_stream:
@@ -289,25 +289,25 @@
         another target may still answer.
         """
         body = AnswerBody(answer, self.exchange, self.clock)
-        held: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while data := await body.read_chunk():
-            held.append(data)
+            chunks.append(data)
             size += len(data)
             if size > MAX_BUFFERED_BYTES:
                 await self.forward_head(answer, sink)
-                await sink.write_body(b"".join(held))
-                held.clear()
+                await sink.write_body(b"".join(chunks))
+                chunks.clear()
         await self.forward_head(answer, sink)
-        await sink.write_body(b"".join(held))
+        await sink.write_body(b"".join(chunks))
 
     async def forward_stream(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Pass a stream on, event by event."""
         exchange = self.exchange
-        cutter = EventSplitter()
+        splitter = EventSplitter()
         body = AnswerBody(answer, exchange, self.clock)
         while data := await body.read_chunk():
-            events = cutter.feed(data)
+            events = splitter.feed(data)
             if events is None:
                 continue
             if events.last_id:
@@ -318,12 +318,12 @@
             await self.forward_head(answer, sink)
             await sink.write_body(events.data)
         await self.forward_head(answer, sink)
-        await sink.write_body(cutter.rest)
+        await sink.write_body(splitter.remainder)
 
     def record_read_pace(self) -> None:
         """Learn how fast the engine reads from when its first event came."""
         now = self.clock.monotonic()
-        self.state.loads.measured(self.target_id, self.usual_s, self.elapsed_s(), now)
+        self.state.loads.measured(self.target_id, self.typical_s, self.elapsed_s(), now)
 
 
 class AnswerBody:
--- a/packages/daemon/src/sardinequay_daemon/caller_answer.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_answer.py
@@ -40,7 +40,7 @@
         self.organisation = ""
         self.goal_s = 0.0
         self.response: web.StreamResponse | None = None
-        self.first_s = 0.0
+        self.first_byte_s = 0.0
 
     def sink(self) -> AnswerSink:
         """Return where the relay puts an answer."""
@@ -59,8 +59,8 @@
         if self.server.is_closing:
             response.force_close()
         self.response = response
-        self.first_s = self.elapsed_s()
-        self.server.metrics.first_byte.observe({"route": self.route}, self.first_s)
+        self.first_byte_s = self.elapsed_s()
+        self.server.metrics.first_byte.observe({"route": self.route}, self.first_byte_s)
         await response.prepare(self.http)
 
     async def write(self, data: bytes) -> None:
@@ -90,7 +90,7 @@
                 "organisation": self.organisation,
                 "result": result,
                 "detail": detail,
-                "first_s": round(self.first_s, 4),
+                "first_s": round(self.first_byte_s, 4),
                 "took_s": round(self.elapsed_s(), 4),
                 "goal_s": self.goal_s,
                 "version": config.version if config else 0,
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -69,9 +69,9 @@
 
 def new_request_id(headers: Mapping[str, str]) -> RequestId:
     """Return the caller's request id if it is usable, else a new one."""
-    given = headers.get(REQUEST_HEADER, "")
-    if given and PRINTABLE.fullmatch(given):
-        return RequestId(given)
+    raw_value = headers.get(REQUEST_HEADER, "")
+    if raw_value and PRINTABLE.fullmatch(raw_value):
+        return RequestId(raw_value)
     return RequestId(f"{getrandbits(128):032x}")
 
 
@@ -115,16 +115,16 @@
     headers: Mapping[str, str], limits: LimitSettings
 ) -> Result[timedelta, Refusal]:
     """Return how long the caller waits, in seconds from now in its header."""
-    given = headers.get(DEADLINE_HEADER)
-    if given is None:
+    raw_value = headers.get(DEADLINE_HEADER)
+    if raw_value is None:
         return Success(timedelta(seconds=limits.default_deadline_s))
     try:
-        value_s = float(given)
+        value_s = float(raw_value)
     except ValueError:
         value_s = float("nan")
     if not value_s <= limits.longest_request_s:
         allowed = f"seconds from now, at most {limits.longest_request_s}"
-        return Failure(bad_header_refusal(DEADLINE_HEADER, given, allowed))
+        return Failure(bad_header_refusal(DEADLINE_HEADER, raw_value, allowed))
     if value_s <= 0:
         return Failure(not_run(Reason.DEADLINE_EXPIRED, "the deadline has passed"))
     return Success(timedelta(seconds=value_s))
@@ -132,13 +132,13 @@
 
 def read_priority(headers: Mapping[str, str], caller: Caller) -> Result[int, Refusal]:
     """Return the priority asked for, at most the caller's own."""
-    given = headers.get(
+    raw_value = headers.get(
         PRIORITY_HEADER, str(min(DEFAULT_PRIORITY, caller.max_priority))
     )
-    if not given.isdigit() or int(given) > MAX_PRIORITY:
+    if not raw_value.isdigit() or int(raw_value) > MAX_PRIORITY:
         allowed = f"0 to {MAX_PRIORITY}"
-        return Failure(bad_header_refusal(PRIORITY_HEADER, given, allowed))
-    return Success(min(int(given), caller.max_priority))
+        return Failure(bad_header_refusal(PRIORITY_HEADER, raw_value, allowed))
+    return Success(min(int(raw_value), caller.max_priority))
 
 
 def read_model_request(
--- a/packages/daemon/src/sardinequay_daemon/caller_server.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_server.py
@@ -131,8 +131,8 @@
             refusal = Refusal(Reason.INTERNAL, outcome, "this host has a fault")
             return await self.refuse(exchange, refusal)
         finally:
-            took = self.clock.monotonic() - began
-            self.journal.note(request_id, "ended", took_s=took.total_seconds())
+            elapsed = self.clock.monotonic() - began
+            self.journal.note(request_id, "ended", took_s=elapsed.total_seconds())
             span.set_attribute("request", request_id)
             span.end()
 
@@ -294,8 +294,8 @@
 
     def record_first_byte(self, exchange: CallerExchange) -> None:
         """Count the time to the first byte of an answer."""
-        took = self.clock.monotonic() - exchange.began_at
-        self.metrics.first_byte.observe({}, took.total_seconds())
+        elapsed = self.clock.monotonic() - exchange.began_at
+        self.metrics.first_byte.observe({}, elapsed.total_seconds())
 
     async def finish_stream(self, exchange: CallerExchange) -> web.StreamResponse:
         """End a streamed answer."""
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -101,12 +101,12 @@
         if not self.route.repetition.is_stream or self.answer_started:
             return left_s
         pause = self.route.max_pause
-        patience_s = max(
+        max_wait_s = max(
             FIRST_EVENT_FLOOR_S,
             FIRST_EVENT_GOALS * self.route.goal.total_seconds(),
             FIRST_EVENT_PAUSES * pause.total_seconds() if pause else 0.0,
         )
-        return min(left_s, patience_s - self.waited_s(now))
+        return min(left_s, max_wait_s - self.waited_s(now))
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -239,7 +239,7 @@
             self.peers,
             self.clock,
         )
-        self.spread.heard.subscribe(guard.apply_updates)
+        self.spread.received.subscribe(guard.apply_updates)
         return guard
 
     def make_callers(
--- a/packages/daemon/src/sardinequay_daemon/load_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -42,8 +42,8 @@
         address = self.state.fleet.address_of(keeper.host_id)
         if address is None:
             return WantReply(False, "nobody orders the engine")
-        patience_s = min(message.wait_s, message.look_s) + REPLY_SLACK_S
-        answer = await self.peers.call(address, message, patience_s)
+        timeout_s = min(message.wait_s, message.look_s) + REPLY_SLACK_S
+        answer = await self.peers.call(address, message, timeout_s)
         reply = answer.value_or(None)
         if isinstance(reply, WantReply):
             return reply
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -43,10 +43,10 @@
         self.quarantine = quarantine
         self.clock = clock
         self.random = random
-        self.heard: Subject[tuple[ContentNews, ...]] = Subject()
-        self.untold: set[ContentId] = set()
+        self.received: Subject[tuple[ContentNews, ...]] = Subject()
+        self.unsent: set[ContentId] = set()
         self.has_unsent = asyncio.Event()
-        self.telling: set[asyncio.Task[None]] = set()
+        self.send_tasks: set[asyncio.Task[None]] = set()
 
     # For the guard.
 
@@ -62,7 +62,7 @@
     def announce_content(self, content: ContentId, is_own: bool) -> None:
         """Have all hosts told of what this one saw."""
         if is_own:
-            self.untold.add(content)
+            self.unsent.add(content)
             self.has_unsent.set()
 
     # Tasks.
@@ -79,12 +79,12 @@
             await self.has_unsent.wait()
             await asyncio.sleep(BATCH_DELAY_S)
             self.has_unsent.clear()
-            told = ContentsTold(self.content_updates(self.untold))
-            self.untold = set()
+            message = ContentsTold(self.content_updates(self.unsent))
+            self.unsent = set()
             for address in self.other_addresses():
-                task = asyncio.create_task(self.send_to(address, told))
-                self.telling.add(task)
-                task.add_done_callback(self.telling.discard)
+                task = asyncio.create_task(self.send_to(address, message))
+                self.send_tasks.add(task)
+                task.add_done_callback(self.send_tasks.discard)
 
     def other_addresses(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
@@ -93,9 +93,9 @@
         elsewhere = {h.peer_address for h in self.membership.remote_hosts()}
         return sorted((here | elsewhere) - {me})
 
-    async def send_to(self, address: Address, told: ContentsTold) -> None:
+    async def send_to(self, address: Address, message: ContentsTold) -> None:
         """Tell one host; one that misses it asks."""
-        await self.peers.call(address, told)
+        await self.peers.call(address, message)
 
     async def pull_from_peer(self) -> None:
         """Ask any host for all that it knows."""
@@ -106,12 +106,12 @@
         answer = await self.peers.call(self.random.choice(others), ask)
         reply = answer.value_or(None)
         if isinstance(reply, ContentsReply):
-            self.heard.on_next(reply.contents)
+            self.received.on_next(reply.contents)
 
-    async def handle_contents_told(self, told: ContentsTold) -> ContentsReply:
+    async def handle_contents_told(self, message: ContentsTold) -> ContentsReply:
         """Take what a host tells, and answer what it asks."""
-        self.heard.on_next(told.contents)
-        known = self.quarantine.suspicions if told.wants_all else ()
+        self.received.on_next(message.contents)
+        known = self.quarantine.suspicions if message.wants_all else ()
         return ContentsReply(self.content_updates(known))
 
     def content_updates(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -29,7 +29,7 @@
         self.guard = guard
         self.state = parts.state
         self.clock = parts.state.clock
-        self.picker = TargetPicker(parts)
+        self.target_picker = TargetPicker(parts)
 
     async def serve(self, exchange: RelayExchange, sink: AnswerSink) -> None:
         """Serve a request.
@@ -55,7 +55,7 @@
             # targets, one that ends whatever runs it would go on to the next.
             await self.wait_for_verdict(exchange)
             self.guard.refuse_if_held(exchange.guarded_run)
-            target = await self.picker.choose(exchange)
+            target = await self.target_picker.choose(exchange)
             if not await self.guard.may_run(exchange.guarded_run):
                 continue
             attempt = Attempt(self.parts, exchange, target)
@@ -82,8 +82,8 @@
         """
         exchange = lost.exchange
         exchange.guarded_run.may_have_run = True
-        left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
-        if not await self.guard.wait_for_verdict(exchange.guarded_run, left_s):
+        time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
+        if not await self.guard.wait_for_verdict(exchange.guarded_run, time_left_s):
             lost.record_verdict(Verdict.FAILED)
             return AttemptEnd.MAY_HAVE_RUN
         if not await self.guard.may_run(exchange.guarded_run):
@@ -100,8 +100,8 @@
 
     async def wait_for_verdict(self, exchange: RelayExchange) -> None:
         """Wait until it is known whether the last target ended under a request."""
-        left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
-        await self.guard.wait_for_verdict(exchange.guarded_run, left_s)
+        time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
+        await self.guard.wait_for_verdict(exchange.guarded_run, time_left_s)
         if exchange.attempts_so_far.runs and exchange.time_left(self.clock.monotonic()) <= ZERO:
             raise RequestRefusedError(answer_lost_refusal())
 
@@ -109,7 +109,7 @@
         """Permit another attempt by returning, or raise the request's end."""
         pause_s = 0.0
         if end is AttemptEnd.REJECTED:
-            pause_s = self.picker.retry_pause_s(exchange)
+            pause_s = self.target_picker.retry_pause_s(exchange)
         now = self.clock.monotonic()
         use = self.repeat_use(exchange, now)
         within_budget = end is AttemptEnd.NOT_SENT or use.has_room
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -131,11 +131,11 @@
             config, route = self.find_route(http)
             answer.route = route.name
             answer.goal_s = route.goal.total_seconds()
-            asks = self.gate.authenticate(config, route, terms)
-            answer.organisation = asks.name if asks is not None else ""
+            organisation = self.gate.authenticate(config, route, terms)
+            answer.organisation = organisation.name if organisation is not None else ""
             self.refuse_if_closing(route)
-            admitted = None if asks is None else self.gate.admit(asks, terms)
-            exchange = await self.build_exchange(http, terms, config, route, asks, arrived)
+            admitted = None if organisation is None else self.gate.admit(organisation, terms)
+            exchange = await self.build_exchange(http, terms, config, route, organisation, arrived)
             try:
                 await self.relay.serve(exchange, answer.sink())
             finally:
@@ -199,7 +199,7 @@
         terms: RequestTerms,
         config: ServingConfig,
         route: Route,
-        asks: Organisation | None,
+        organisation: Organisation | None,
         arrived: Instant,
     ) -> RelayExchange:
         """Read the body and put the request together."""
@@ -208,7 +208,7 @@
         body = await self.read_body(http, config.limits, deadline)
         span = self.tracing.server_span("request", http.headers)
         host = http.headers.get("Host", "")
-        caller = terms.caller if asks is None else asks.name
+        caller = terms.caller if organisation is None else organisation.name
         content = content_id(http.method, host, http.raw_path, caller, body)
         return RelayExchange(
             terms,
@@ -222,7 +222,7 @@
             deadline,
             span,
             GuardedRun(terms.request_id, content),
-            asks,
+            organisation,
             last_event=terms.last_event,
         )
 
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -100,8 +100,8 @@
         """Take what the store publishes, and forget targets that are gone."""
         before, self.catalogue = self.catalogue, catalogue
         for target_id, published in catalogue.targets.items():
-            was = before.targets.get(target_id)
-            if was is not None and was.incarnation < published.incarnation:
+            previous = before.targets.get(target_id)
+            if previous is not None and previous.incarnation < published.incarnation:
                 self.forget_incarnation(target_id)
         self.quotas.take_catalogue(before, catalogue)
         known = frozenset(catalogue.targets)
@@ -114,26 +114,26 @@
         self.loads.forget_target(target_id)
         self.uses.forget_target(target_id)
 
-    def apply_digest(self, heard: HeardDigest) -> None:
+    def apply_digest(self, received: HeardDigest) -> None:
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
-        digest = heard.digest
+        digest = received.digest
         self.loads.measures_together = not self.fleet.is_mesh
         self.loads.peer_life = max(PEER_SHARE_LIFE, self.fleet.longest_silence())
         match digest.scope:
             case Scope.HOST | Scope.DATA_CENTRE if self.receives_host_digests():
-                self.apply_host_digest(heard)
+                self.apply_host_digest(received)
             case Scope.FLEET if self.fleet.hub() == digest.host:
-                self.apply_fleet_digest(heard)
+                self.apply_fleet_digest(received)
         for holdings in digest.holdings:
-            self.apply_holdings(holdings, heard.at)
+            self.apply_holdings(holdings, received.at)
 
     def receives_host_digests(self) -> bool:
         """Return whether this host hears others' parts, not their sum from a hub."""
         return self.fleet.is_mesh or self.fleet.is_hub()
 
-    def apply_host_digest(self, heard: HeardDigest) -> None:
+    def apply_host_digest(self, received: HeardDigest) -> None:
         """Take the part of one host, or of the hosts of one data centre."""
-        digest, now = heard.digest, heard.at
+        digest, now = received.digest, received.at
         host_id = digest.host.host_id
         if self.fleet_view_hub is not None and not self.is_gathering(now):
             # The sum over all hosts, told until now by a hub, counts this one, too.
@@ -144,7 +144,7 @@
         self.loads.hear(host_id, digest.shares, now)
         self.health.tally.hear(host_id, digest.outcomes, now)
         self.demand.hear(host_id, digest.demand, now)
-        self.quotas.take_part(heard)
+        self.quotas.take_part(received)
         uses = {(u.target, u.adapter): u.count for u in digest.uses}
         self.uses.replace(host_id, uses)
 
@@ -159,16 +159,16 @@
             self.fleet.hub_period_s()
         )
 
-    def apply_fleet_digest(self, heard: HeardDigest) -> None:
+    def apply_fleet_digest(self, received: HeardDigest) -> None:
         """Take from this data centre's hub what all other hosts have and saw."""
-        digest, now = heard.digest, heard.at
+        digest, now = received.digest, received.at
         host_id = digest.host.host_id
         self.fleet_view_hub = host_id
         self.fleet_view_at = now
         self.loads.hear_all(host_id, digest.shares, now)
         self.health.tally.hear_all(host_id, digest.outcomes, now)
         self.demand.hear_all(host_id, digest.demand, now)
-        self.quotas.take_sum(heard)
+        self.quotas.take_sum(received)
         for peer in tuple(self.uses.peers):
             self.uses.forget(peer)
 
--- a/packages/daemon/src/sardinequay_daemon/server_sent_events.py
+++ b/packages/daemon/src/sardinequay_daemon/server_sent_events.py
@@ -32,18 +32,18 @@
     """Collects bytes until they make whole events."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> EventBatch | None:
         """Take bytes; return the events that they complete, if any."""
-        data = self.rest + data
+        data = self.remainder + data
         end = data.rfind(EVENT_END)
         if end < 0:
-            self.rest = data
+            self.remainder = data
             if len(data) > MAX_EVENT_BYTES:
                 raise ValueError("an event exceeds its limit")
             return None
-        whole, self.rest = data[: end + 2], data[end + 2 :]
+        whole, self.remainder = data[: end + 2], data[end + 2 :]
         first = whole.find(ID_FIELD)
         last = whole.rfind(ID_FIELD)
         return EventBatch(
--- a/packages/daemon/src/sardinequay_daemon/single_send.py
+++ b/packages/daemon/src/sardinequay_daemon/single_send.py
@@ -52,14 +52,14 @@
 
     Parameters
     ----------
-    note : callable
+    on_send : callable
         Called when the request goes out.
     is_on_kept : bool
         Whether it went over a connection that had been used before.
     """
 
-    def __init__(self, note: Callable[[], None]) -> None:
-        self.note = note
+    def __init__(self, on_send: Callable[[], None]) -> None:
+        self.on_send = on_send
         self.is_on_reused_connection = False
 
     async def __call__(
@@ -72,7 +72,7 @@
         TargetError
             If a connection that had been used before broke without an answer.
         """
-        self.note()
+        self.on_send()
         try:
             return await send_once(request, handler)
         except ConnectionLostError as error:
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -57,43 +57,43 @@
 
     Parameters
     ----------
-    lives : callable
+    is_alive : callable
         Returns whether the start of a target that had a request still lives.
     is_live : callable
         Returns whether a target is listed and not about to leave. One that leaves may
         end while it has requests; none of them is at fault.
-    note_end : callable
+    record_end : callable
         Counts that a target of a pool ended.
     """
 
     def __init__(
         self,
-        lives: AliveCheck,
+        is_alive: AliveCheck,
         is_live: Callable[[TargetId], bool],
-        note_end: Callable[[PoolName], None],
+        record_end: Callable[[PoolName], None],
     ) -> None:
-        self.lives = lives
+        self.is_alive = is_alive
         self.is_live = is_live
-        self.note_end = note_end
-        self.asking: dict[tuple[TargetId, int], asyncio.Task[bool]] = {}
+        self.record_end = record_end
+        self.probes: dict[tuple[TargetId, int], asyncio.Task[bool]] = {}
         self.presumed_alive: deque[InterruptedRequest] = deque(maxlen=MAX_PRESUMED_ALIVE)
 
-    async def has_ended_during(self, broken: InterruptedRequest) -> bool:
+    async def has_ended_during(self, interrupted: InterruptedRequest) -> bool:
         """Return whether a target ended, unplanned, while it had a request."""
-        target = broken.target
+        target = interrupted.target
         if not self.is_live(target.target_id):
             return False
-        key = (target.target_id, broken.incarnation)
-        asking = self.asking.get(key)
-        if asking is None:
-            asking = asyncio.create_task(self.probe_end(target, broken.incarnation))
-            self.asking[key] = asking
-            asking.add_done_callback(lambda _: self.asking.pop(key, None))
-        has_ended = await asyncio.shield(asking)
+        key = (target.target_id, interrupted.incarnation)
+        probe = self.probes.get(key)
+        if probe is None:
+            probe = asyncio.create_task(self.probe_end(target, interrupted.incarnation))
+            self.probes[key] = probe
+            probe.add_done_callback(lambda _: self.probes.pop(key, None))
+        has_ended = await asyncio.shield(probe)
         if has_ended:
-            self.log_target_end(broken)
+            self.log_target_end(interrupted)
         else:
-            self.presumed_alive.append(broken)
+            self.presumed_alive.append(interrupted)
         return has_ended
 
     def find_restarted(self, catalogue: Catalogue, now: Instant) -> list[InterruptedRequest]:
@@ -102,39 +102,39 @@
         while self.presumed_alive and self.presumed_alive[0].at < since:
             self.presumed_alive.popleft()
         shown = [b for b in self.presumed_alive if has_started_again(b, catalogue)]
-        for broken in shown:
-            self.presumed_alive.remove(broken)
-            self.log_target_end(broken)
+        for interrupted in shown:
+            self.presumed_alive.remove(interrupted)
+            self.log_target_end(interrupted)
         return shown
 
     async def probe_end(self, target: Target, incarnation: int) -> bool:
         """Return whether a start of a target has ended."""
         await asyncio.sleep(PROBE_DELAY_S)
-        has_ended = not await self.lives(target, incarnation)
+        has_ended = not await self.is_alive(target, incarnation)
         if has_ended:
-            self.note_end(target.pool)
+            self.record_end(target.pool)
         return has_ended
 
-    def log_target_end(self, broken: InterruptedRequest) -> None:
+    def log_target_end(self, interrupted: InterruptedRequest) -> None:
         """Log that a target ended under a request."""
         log.warning(
             "target ended",
             extra={
-                "request": broken.request_id,
-                "content": broken.content,
-                "target": broken.target.target_id,
-                "incarnation": broken.incarnation,
-                "ran_s": round(broken.ran_s, 4),
+                "request": interrupted.request_id,
+                "content": interrupted.content,
+                "target": interrupted.target.target_id,
+                "incarnation": interrupted.incarnation,
+                "ran_s": round(interrupted.ran_s, 4),
             },
         )
 
 
-def has_started_again(broken: InterruptedRequest, catalogue: Catalogue) -> bool:
+def has_started_again(interrupted: InterruptedRequest, catalogue: Catalogue) -> bool:
     """Return whether a later start of a request's target is listed."""
-    target = broken.target
+    target = interrupted.target
     listed = catalogue.targets.get(target.target_id)
     if listed is not None:
-        return broken.incarnation < listed.incarnation and broken.incarnation > 0
+        return interrupted.incarnation < listed.incarnation and interrupted.incarnation > 0
     return any(
         other.target.address == target.address and other.target.pool == target.pool
         for other in catalogue.targets.values()
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -31,8 +31,8 @@
         self,
         pool: PoolName,
         terms: RequestTerms,
-        barred: frozenset[TargetId],
-        told: Mapping[TargetId, float],
+        excluded: frozenset[TargetId],
+        expected_load_s: Mapping[TargetId, float],
     ) -> list[EngineOption]:
         """Return the engines as a model request may use them.
 
@@ -56,8 +56,8 @@
                 home[t.target.target_id],
                 keepers.get(t.target.data_centre),
                 now,
-                was_barred=t.target.target_id in barred,
-                told_s=told.get(t.target.target_id),
+                was_barred=t.target.target_id in excluded,
+                told_s=expected_load_s.get(t.target.target_id),
             )
             for t in usable
         ]
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -121,7 +121,7 @@
 
     async def choose_engine(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the engine for the next attempt, with the adapter on it."""
-        told: dict[TargetId, Instant] = {}
+        expected_ready_at: dict[TargetId, Instant] = {}
         failed_requests = 0
         terms = exchange.terms
         if terms.adapter:
@@ -129,7 +129,7 @@
         while True:
             now = self.clock.monotonic()
             options = self.options.engine_options(
-                exchange.pool, exchange.terms, exchange.tried, seconds_until(told, now)
+                exchange.pool, exchange.terms, exchange.tried, seconds_until(expected_ready_at, now)
             )
             left_s = exchange.first_event_left_s(now)
             due = self.options.copies_due(terms, len(options))
@@ -150,12 +150,12 @@
                 continue
             now = self.clock.monotonic()
             if reply.is_queued:
-                told[choice.target] = now + seconds(reply.expected_s)
+                expected_ready_at[choice.target] = now + seconds(reply.expected_s)
                 continue
-            told[choice.target] = now + seconds(reply.expected_s or ASSUMED_QUEUE_WAIT_S)
+            expected_ready_at[choice.target] = now + seconds(reply.expected_s or ASSUMED_QUEUE_WAIT_S)
             failed_requests += 1
             if failed_requests >= MAX_FAILED_LOAD_REQUESTS:
-                busy = TooBusy(min(seconds_until(told, now).values()))
+                busy = TooBusy(min(seconds_until(expected_ready_at, now).values()))
                 raise RequestRefusedError(self.no_engine_refusal(exchange, busy, left_s))
 
     def no_engine_refusal(
@@ -178,14 +178,14 @@
     ) -> WantReply:
         """Have an adapter loaded; return whether that went well."""
         began = self.clock.monotonic()
-        wanted = self.state.required_adapter(exchange.terms)
+        adapter_ref = self.state.required_adapter(exchange.terms)
         route = exchange.route
         loads, terms = self.state.loads, exchange.terms
         reading_s = loads.first_event_s(target, terms.prompt_tokens, began)
         goal_s = (exchange.arrived + route.goal - began).total_seconds() - reading_s
         ask = WantAdapter(
             target,
-            wanted,
+            adapter_ref,
             request_worth(exchange.priority),
             goal_s,
             left_s * PATIENCE,
@@ -200,32 +200,32 @@
             reply = await self.wants.request_load(ask)
         finally:
             loads.end(target, terms.prompt_tokens, had_first_event=False)
-        took = (self.clock.monotonic() - began).total_seconds()
-        self.metrics.load_wait.observe({}, took)
+        elapsed_s = (self.clock.monotonic() - began).total_seconds()
+        self.metrics.load_wait.observe({}, elapsed_s)
         log.info(
             "waited for adapter",
             extra={
                 "request": exchange.terms.request_id,
                 "target": target,
-                "adapter": str(wanted),
+                "adapter": str(adapter_ref),
                 "ready": reply.is_ready,
                 "detail": reply.detail,
                 "expected_s": round(reply.expected_s, 3),
-                "waited_s": round(took, 4),
+                "waited_s": round(elapsed_s, 4),
             },
         )
         if reply.is_ready:
-            self.assume_resident(target, wanted)
+            self.assume_resident(target, adapter_ref)
         return reply
 
-    def assume_resident(self, target: TargetId, wanted: AdapterRef) -> None:
+    def assume_resident(self, target: TargetId, adapter_ref: AdapterRef) -> None:
         """Believe the host that orders an engine before its next digest comes."""
         residency = self.state.residency
         published = self.state.catalogue.targets.get(target)
         if published is None:
             return
-        if residency.resident(published, wanted) is None:
-            residency.add(published, wanted)
+        if residency.resident(published, adapter_ref) is None:
+            residency.add(published, adapter_ref)
 
     def log_choice(
         self,
--- a/packages/daemon/src/sardinequay_daemon/target_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/target_probe.py
@@ -53,12 +53,12 @@
     def __init__(
         self,
         accepts: Callable[[Address], Awaitable[bool]],
-        looks: StatusProbe,
+        status_probe: StatusProbe,
         is_busy: Callable[[TargetId], bool],
         health_path: Callable[[PoolName], str],
     ) -> None:
         self.accepts = accepts
-        self.looks = looks
+        self.status_probe = status_probe
         self.is_busy = is_busy
         self.health_path = health_path
 
@@ -67,7 +67,7 @@
         if not await self.accepts(target.address):
             return False
         path = self.health_path(target.pool)
-        sign = await self.looks.probe_status(target, incarnation, path)
+        sign = await self.status_probe.probe_status(target, incarnation, path)
         if sign in (ProbeResult.REFUSED, ProbeResult.NO_ANSWER):
             return self.is_busy(target.target_id)
         return sign is ProbeResult.HEALTHY
--- a/packages/daemon/src/sardinequay_daemon/upstream.py
+++ b/packages/daemon/src/sardinequay_daemon/upstream.py
@@ -88,8 +88,8 @@
         self,
         address: Address,
         request: UpstreamRequest,
-        head_within_s: float,
-        note_send: Callable[[], None],
+        head_timeout_s: float,
+        on_send: Callable[[], None],
     ) -> AsyncGenerator[aiohttp.ClientResponse, None]:
         """Send a request and yield its answer once the head is there.
 
@@ -106,7 +106,7 @@
         TargetError
             If no head came; the fault says whether the target may have run it.
         """
-        answer = await self.wait_for_head(address, request, head_within_s, note_send)
+        answer = await self.wait_for_head(address, request, head_timeout_s, on_send)
         try:
             yield answer
         finally:
@@ -116,14 +116,14 @@
         self,
         address: Address,
         request: UpstreamRequest,
-        within_s: float,
-        note_send: Callable[[], None],
+        timeout_s: float,
+        on_send: Callable[[], None],
     ) -> aiohttp.ClientResponse:
         """Send a request and wait for the head of its answer."""
         session = self.pooled if request.may_reuse_connection else self.fresh
         url = URL(f"http://{address}{request.path}", encoded=True)
-        send = CountedSend(note_send)
-        timer = asyncio.timeout(within_s)
+        send = CountedSend(on_send)
+        timer = asyncio.timeout(timeout_s)
         try:
             async with timer:
                 with TargetErrorTranslator():
@@ -138,7 +138,7 @@
                         trace_request_ctx=send,
                     )
         except TimeoutError as error:
-            detail = f"silent for {within_s:.3f} s"
+            detail = f"silent for {timeout_s:.3f} s"
             raise TargetError(TargetFault.SILENT, detail) from error
 
     async def close(self) -> None:
--- a/packages/daemon/tests/test_quarantine_replicator.py
+++ b/packages/daemon/tests/test_quarantine_replicator.py
@@ -78,7 +78,7 @@
         spread = QuarantineReplicator(
             Membership(number), made, quarantine, clock, Random(number)
         )
-        spread.heard.subscribe(
+        spread.received.subscribe(
             lambda contents, q=quarantine: [
                 apply_content_update(q, news, clock.monotonic()) for news in contents
             ]
@@ -101,7 +101,7 @@
     task = asyncio.create_task(spread.send_updates())
     while spread.has_unsent.is_set() or not net.messages:
         await asyncio.sleep(0.005)
-    await asyncio.gather(*spread.telling)
+    await asyncio.gather(*spread.send_tasks)
     task.cancel()
 
 
