--- a/packages/daemon/src/sardinequay_daemon/caller_server.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_server.py
@@ -244,11 +244,11 @@
                 async for part in parts:
                     await self.write(exchange, 200, headers, part.data)
                 return await self.finish_stream(exchange)
-            whole = CompletionAssembler()
+            assembler = CompletionAssembler()
             async for part in parts:
-                whole.add_events(part.data)
+                assembler.add_events(part.data)
         return web.Response(
-            body=whole.body(), headers=headers, content_type="application/json"
+            body=assembler.body(), headers=headers, content_type="application/json"
         )
 
     async def run_service(
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -102,8 +102,8 @@
         others = self.other_addresses()
         if not others:
             return
-        ask = ContentsTold((), wants_all=True)
-        answer = await self.peers.call(self.random.choice(others), ask)
+        request = ContentsTold((), wants_all=True)
+        answer = await self.peers.call(self.random.choice(others), request)
         reply = answer.value_or(None)
         if isinstance(reply, ContentsReply):
             self.received.on_next(reply.contents)
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -183,7 +183,7 @@
         loads, terms = self.state.loads, exchange.terms
         reading_s = loads.first_event_s(target, terms.prompt_tokens, began)
         goal_s = (exchange.arrived + route.goal - began).total_seconds() - reading_s
-        ask = WantAdapter(
+        request = WantAdapter(
             target,
             adapter_ref,
             request_worth(exchange.priority),
@@ -197,7 +197,7 @@
         # are there, which then serve nobody.
         loads.begin(target, terms.prompt_tokens)
         try:
-            reply = await self.wants.request_load(ask)
+            reply = await self.wants.request_load(request)
         finally:
             loads.end(target, terms.prompt_tokens, had_first_event=False)
         elapsed_s = (self.clock.monotonic() - began).total_seconds()
--- a/packages/daemon/tests/test_caller_requests.py
+++ b/packages/daemon/tests/test_caller_requests.py
@@ -87,7 +87,7 @@
 
 
 def test_deadline_counts_from_now(bundle: Bundle) -> None:
-    made: Envelope = envelope(bundle, Sardinequay_Deadline="2.5").unwrap()
+    made: RequestEnvelope = envelope(bundle, Sardinequay_Deadline="2.5").unwrap()
     assert made.deadline == NOW + seconds(2.5)
 
 
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -33,7 +33,7 @@
 POOL = PoolName("lm")
 
 
-class Ends:
+class FakeEndDetector:
     """Says of each target that it ended, unless told otherwise."""
 
     has_ended = True
@@ -46,7 +46,7 @@
 class Fleet:
     """A host's view of the fleet, in which all others live."""
 
-    told: int = 0
+    announced: int = 0
     alive: list[HostId] = field(default_factory=lambda: list(HOSTS))
 
     def known_to_all(self) -> list[HostId]:
@@ -56,7 +56,7 @@
         return Address("127.0.0.1", 1 + HOSTS.index(host_id))
 
     def announce_content(self, content: ContentId, is_own: bool) -> None:
-        self.told += 1
+        self.announced += 1
 
 
 @dataclass
@@ -80,7 +80,7 @@
     made = Net()
     for host_id in HOSTS:
         made.guards.append(
-            ContentGuard(host_id, Quarantine(), Ends(), Fleet(), made, clock)
+            ContentGuard(host_id, Quarantine(), FakeEndDetector(), Fleet(), made, clock)
         )
     return made
 
@@ -94,33 +94,33 @@
     return Target(TargetId(name), POOL, TargetKind.ENGINE, DataCentre("za"), place)
 
 
-async def ended(guard: ContentGuard, name: str) -> None:
+async def end_target_under_request(guard: ContentGuard, name: str) -> None:
     """Let a target end under a request, and the host learn of it."""
     sent = run()
     guard.handle_broken_connection(sent, target(name), 1, 0.1)
     await guard.wait_for_verdict(sent, 5.0)
 
 
-def given(net: Net) -> ContentGuard:
+def issuing_guard(net: Net) -> ContentGuard:
     """Return the guard that gives the permits of the content."""
     return net.guards[HOSTS.index(net.guards[0].permit_issuer(FATAL))]
 
 
 def others(net: Net) -> list[ContentGuard]:
-    return [g for g in net.guards if g is not given(net)]
+    return [g for g in net.guards if g is not issuing_guard(net)]
 
 
-async def test_content_without_an_end_runs_as_it_likes(net, clock) -> None:
+async def test_content_without_an_end_needs_no_permit(net, clock) -> None:
     for guard in net.guards:
         guard.refuse_if_held(run())
         assert await guard.may_run(run())
 
 
-async def test_second_end_holds_it_and_says_when_to_come_back(net, clock) -> None:
+async def test_second_end_quarantines_content_with_retry_after(net, clock) -> None:
     guard = net.guards[0]
-    await ended(guard, "e1")
+    await end_target_under_request(guard, "e1")
     guard.refuse_if_held(run())
-    await ended(guard, "e2")
+    await end_target_under_request(guard, "e2")
     clock.turn(1)
     with pytest.raises(RequestRefusedError) as caught:
         guard.refuse_if_held(run())
@@ -128,13 +128,13 @@
     assert (refusal.reason, refusal.outcome) == (Reason.QUARANTINED, Outcome.NOT_RUN)
     assert refusal.status == 503
     assert refusal.retry_after == seconds(4)
-    assert guard.fleet.told >= 2
+    assert guard.fleet.announced >= 2
 
 
-async def test_run_that_may_have_run_is_not_told_that_it_has_not(net, clock) -> None:
+async def test_refusal_after_a_possible_run_has_unknown_outcome(net, clock) -> None:
     guard = net.guards[0]
     for name in ("e1", "e2"):
-        await ended(guard, name)
+        await end_target_under_request(guard, name)
     sent = run()
     sent.may_have_run = True
     with pytest.raises(RequestRefusedError) as caught:
@@ -142,10 +142,10 @@
     assert caught.value.refusal.outcome is Outcome.UNKNOWN
 
 
-async def test_target_that_lives_counts_against_nobody(net, clock) -> None:
+async def test_live_target_does_not_make_content_suspect(net, clock) -> None:
     guard = net.guards[0]
     guard.end_detector.has_ended = False
-    await ended(guard, "e1")
+    await end_target_under_request(guard, "e1")
     assert not guard.quarantine.is_suspect(FATAL)
 
 
@@ -161,7 +161,7 @@
     assert await net.guards[(first + 1) % len(HOSTS)].may_run(run())
 
 
-async def test_who_waits_too_long_for_a_permit_is_refused(net, clock) -> None:
+async def test_request_that_waits_too_long_for_a_permit_is_refused(net, clock) -> None:
     guard, other = others(net)[:2]
     guard.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
     other.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
@@ -174,7 +174,7 @@
     assert caught.value.refusal.retry_after
 
 
-async def test_what_a_run_showed_comes_back_with_its_permit(net, clock) -> None:
+async def test_returned_permit_carries_the_target_end(net, clock) -> None:
     guard, other = others(net)[:2]
     for g in (guard, other):
         g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
@@ -190,7 +190,7 @@
     assert other.quarantine.hold_left(FATAL, clock.monotonic())
 
 
-async def test_host_that_is_cut_off_lets_one_at_a_time_run(net, clock) -> None:
+async def test_partitioned_host_runs_one_suspect_at_a_time(net, clock) -> None:
     guard = others(net)[0]
     guard.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
     net.is_cut = True
@@ -198,7 +198,7 @@
     assert not await guard.may_run(run())
 
 
-async def test_answer_clears_it_for_all(net, clock) -> None:
+async def test_answer_clears_content_on_all_hosts(net, clock) -> None:
     guard, other = net.guards[:2]
     for g in (guard, other):
         g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
@@ -208,19 +208,19 @@
     assert not other.quarantine.is_suspect(FATAL)
 
 
-async def test_operator_lifts_it(net, clock) -> None:
+async def test_operator_lifts_quarantine(net, clock) -> None:
     guard = net.guards[0]
     for name in ("e1", "e2"):
-        await ended(guard, name)
+        await end_target_under_request(guard, name)
     clock.turn(1)
     assert guard.lift_quarantine(FATAL)
     guard.refuse_if_held(run())
 
 
-async def test_ends_told_by_one_host_hold_it_at_all(net, clock) -> None:
+async def test_content_update_quarantines_content_on_other_hosts(net, clock) -> None:
     guard, other = net.guards[:2]
     for name in ("e1", "e2"):
-        await ended(guard, name)
+        await end_target_under_request(guard, name)
     other.apply_update(content_update(guard.quarantine, FATAL, clock.monotonic()))
     with pytest.raises(RequestRefusedError):
         other.refuse_if_held(run())
--- a/packages/daemon/tests/test_quarantine_replicator.py
+++ b/packages/daemon/tests/test_quarantine_replicator.py
@@ -28,12 +28,12 @@
 FATAL = ContentId("fatal")
 
 
-def place(number: int) -> Address:
+def make_address(number: int) -> Address:
     return Address("127.0.0.1", number)
 
 
 def member(number: int) -> Member:
-    return Member(HostId(f"h{number}"), place(number), 1)
+    return Member(HostId(f"h{number}"), make_address(number), 1)
 
 
 @dataclass
@@ -52,14 +52,14 @@
 
     def remote_hosts(self) -> list[EntryHost]:
         far = HostId("h3")
-        return [EntryHost(far, DataCentre("far"), place(3), place(4))]
+        return [EntryHost(far, DataCentre("far"), make_address(3), make_address(4))]
 
 
 @dataclass
 class Net:
     """Brings messages to the other hosts, or loses them."""
 
-    spreads: dict[Address, QuarantineReplicator] = field(default_factory=dict)
+    replicators: dict[Address, QuarantineReplicator] = field(default_factory=dict)
     messages: int = 0
     is_cut: bool = False
 
@@ -67,7 +67,7 @@
         self.messages += 1
         if self.is_cut:
             return Failure(PeerError(str(address), "cut"))
-        return Success(await self.spreads[address].handle_contents_told(message))
+        return Success(await self.replicators[address].handle_contents_told(message))
 
 
 @pytest.fixture
@@ -75,56 +75,56 @@
     made = Net()
     for number in (1, 2, 3):
         quarantine = Quarantine()
-        spread = QuarantineReplicator(
+        replicator = QuarantineReplicator(
             Membership(number), made, quarantine, clock, Random(number)
         )
-        spread.received.subscribe(
+        replicator.received.subscribe(
             lambda contents, q=quarantine: [
                 apply_content_update(q, news, clock.monotonic()) for news in contents
             ]
         )
-        made.spreads[place(number)] = spread
+        made.replicators[make_address(number)] = replicator
     return made
 
 
-def see_ends(spread: QuarantineReplicator) -> None:
+def record_two_ends(replicator: QuarantineReplicator) -> None:
     """See two targets end under a content."""
-    now = spread.clock.monotonic()
+    now = replicator.clock.monotonic()
     for number in (1, 2):
         end = TargetEnd(TargetId(f"e{number}"), 0, now)
-        spread.quarantine.add(FATAL, end, now)
-    spread.announce_content(FATAL, is_own=True)
+        replicator.quarantine.add(FATAL, end, now)
+    replicator.announce_content(FATAL, is_own=True)
 
 
-async def tell(net: Net, spread: QuarantineReplicator) -> None:
+async def run_send_updates(net: Net, replicator: QuarantineReplicator) -> None:
     """Let a host tell what it has to, then stop it."""
-    task = asyncio.create_task(spread.send_updates())
-    while spread.has_unsent.is_set() or not net.messages:
+    task = asyncio.create_task(replicator.send_updates())
+    while replicator.has_unsent.is_set() or not net.messages:
         await asyncio.sleep(0.005)
-    await asyncio.gather(*spread.send_tasks)
+    await asyncio.gather(*replicator.send_tasks)
     task.cancel()
 
 
-async def test_what_a_host_saw_is_told_to_all_in_one_message_each(net) -> None:
-    first = net.spreads[place(1)]
-    see_ends(first)
-    await tell(net, first)
+async def test_own_observations_go_to_every_host_in_one_message(net) -> None:
+    first = net.replicators[make_address(1)]
+    record_two_ends(first)
+    await run_send_updates(net, first)
     assert net.messages == 2
-    for spread in net.spreads.values():
-        now = spread.clock.monotonic()
-        assert spread.quarantine.hold_left(FATAL, now) == seconds(5)
+    for replicator in net.replicators.values():
+        now = replicator.clock.monotonic()
+        assert replicator.quarantine.hold_left(FATAL, now) == seconds(5)
 
 
-async def test_what_a_host_heard_is_not_told_again(net) -> None:
-    net.spreads[place(2)].announce_content(FATAL, is_own=False)
-    assert not net.spreads[place(2)].has_unsent.is_set()
+async def test_received_updates_are_not_forwarded(net) -> None:
+    net.replicators[make_address(2)].announce_content(FATAL, is_own=False)
+    assert not net.replicators[make_address(2)].has_unsent.is_set()
 
 
-async def test_host_that_missed_it_asks(net) -> None:
-    first, second, far = (net.spreads[place(n)] for n in (1, 2, 3))
+async def test_host_that_missed_an_update_pulls_it(net) -> None:
+    first, second, far = (net.replicators[make_address(n)] for n in (1, 2, 3))
     net.is_cut = True
-    see_ends(first)
-    await tell(net, first)
+    record_two_ends(first)
+    await run_send_updates(net, first)
     assert not second.quarantine.is_suspect(FATAL)
     await second.pull_from_peer()
     net.is_cut = False
@@ -133,9 +133,9 @@
             await asking.pull_from_peer()
 
 
-async def test_hosts_of_a_data_centre_know_who_gives_permits(net) -> None:
+async def test_permit_issuers_are_the_hosts_of_the_data_centre(net) -> None:
     for number in (1, 2):
-        spread = net.spreads[place(number)]
-        assert spread.known_to_all() == ["h1", "h2"]
-        assert spread.address_of(HostId("h2")) == place(2)
-        assert spread.address_of(HostId("h9")) is None
+        replicator = net.replicators[make_address(number)]
+        assert replicator.known_to_all() == ["h1", "h2"]
+        assert replicator.address_of(HostId("h2")) == make_address(2)
+        assert replicator.address_of(HostId("h9")) is None
--- a/packages/daemon/tests/test_single_send.py
+++ b/packages/daemon/tests/test_single_send.py
@@ -12,7 +12,7 @@
 from sardinequay_daemon.single_send import client_session
 
 
-class Closing:
+class ClosingServer:
     """A server that reads requests and closes their connections unanswered."""
 
     def __init__(self) -> None:
@@ -31,8 +31,8 @@
 
 
 @pytest.fixture
-async def closing() -> AsyncIterator[Closing]:
-    made = Closing()
+async def closing() -> AsyncIterator[ClosingServer]:
+    made = ClosingServer()
     made.server = await asyncio.start_server(made.handle, "127.0.0.1", 0)
     yield made
     made.server.close()
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "HEAD", "PUT", "DELETE", "POST"])
 async def test_call_on_a_connection_that_breaks_goes_out_once(
-    closing: Closing, method: str
+    closing: ClosingServer, method: str
 ) -> None:
     async with client_session(aiohttp.TCPConnector()) as session:
         with pytest.raises(ConnectionLostError):
@@ -49,7 +49,7 @@
 
 
 async def test_refused_connection_still_proves_that_nothing_went_out(
-    closing: Closing,
+    closing: ClosingServer,
 ) -> None:
     url = closing.url
     assert closing.server is not None
--- a/packages/daemon/tests/test_target_end_detector.py
+++ b/packages/daemon/tests/test_target_end_detector.py
@@ -34,7 +34,7 @@
     return InterruptedRequest("r1", ContentId(content), target, 7, 0.1)
 
 
-class Asked:
+class FakeAliveCheck:
     """Counts questions; `is_up` is the answer."""
 
     def __init__(self) -> None:
@@ -47,8 +47,8 @@
 
 
 @pytest.fixture
-def asked() -> Asked:
-    return Asked()
+def alive_check() -> FakeAliveCheck:
+    return FakeAliveCheck()
 
 
 @pytest.fixture
@@ -63,33 +63,33 @@
 
 
 @pytest.fixture
-def watch(asked: Asked, live: set[TargetId], ended: list[PoolName]) -> TargetEndDetector:
-    return TargetEndDetector(asked.is_alive, live.__contains__, ended.append)
+def detector(alive_check: FakeAliveCheck, live: set[TargetId], ended: list[PoolName]) -> TargetEndDetector:
+    return TargetEndDetector(alive_check.is_alive, live.__contains__, ended.append)
 
 
-async def test_target_that_takes_no_connection_has_ended(watch) -> None:
-    assert await watch.has_ended_during(broken("c1"))
+async def test_target_that_takes_no_connection_has_ended(detector) -> None:
+    assert await detector.has_ended_during(broken("c1"))
 
 
-async def test_target_that_lives_gave_up_one_answer(watch, asked) -> None:
-    asked.is_up = True
-    assert not await watch.has_ended_during(broken("c1"))
+async def test_live_target_has_not_ended(detector, alive_check) -> None:
+    alive_check.is_up = True
+    assert not await detector.has_ended_during(broken("c1"))
 
 
-async def test_one_question_serves_all_that_broke_at_once(watch, asked, ended) -> None:
-    found = await asyncio.gather(*(watch.has_ended_during(broken(c)) for c in "abc"))
+async def test_concurrent_interruptions_share_one_probe(detector, alive_check, ended) -> None:
+    found = await asyncio.gather(*(detector.has_ended_during(broken(c)) for c in "abc"))
     assert found == [True, True, True]
-    assert asked.count == 1
+    assert alive_check.count == 1
     assert ended == [PoolName("lm")]
 
 
-async def test_target_that_leaves_ends_by_plan(watch, asked, live) -> None:
+async def test_end_of_a_leaving_target_is_planned(detector, alive_check, live) -> None:
     live.clear()
-    assert not await watch.has_ended_during(broken("c1"))
-    assert asked.count == 0
+    assert not await detector.has_ended_during(broken("c1"))
+    assert alive_check.count == 0
 
 
-async def test_who_takes_and_keeps_connections() -> None:
+async def test_connection_probe_requires_the_connection_to_stay_open() -> None:
     probe = ConnectionProbe(IP)
 
     async def keep(reader: asyncio.StreamReader, _: asyncio.StreamWriter) -> None:
@@ -106,7 +106,7 @@
         server.close()
 
 
-class Shows:
+class FakeStatusProbe:
     """Shows a sign."""
 
     def __init__(self, sign: ProbeResult) -> None:
@@ -133,8 +133,8 @@
         (ProbeResult.NO_ANSWER, True, True),
     ],
 )
-async def test_what_a_target_shows_is_weighed(sign, is_busy, lives) -> None:
-    probe = TargetProbe(accepts, Shows(sign), lambda _: is_busy, lambda _: "/health")
+async def test_probe_result_decides_whether_target_is_alive(sign, is_busy, lives) -> None:
+    probe = TargetProbe(accepts, FakeStatusProbe(sign), lambda _: is_busy, lambda _: "/health")
     assert await probe.is_alive(broken("c").target, 7) is lives
 
 
@@ -153,18 +153,18 @@
         (Catalogue(), 0),
     ],
 )
-async def test_later_start_shows_an_end_that_was_not_seen(
-    watch, asked, catalogue, shown
+async def test_later_start_reveals_an_undetected_end(
+    detector, alive_check, catalogue, shown
 ) -> None:
-    asked.is_up = True
+    alive_check.is_up = True
     sent = replace(broken("c"), at=seconds(10))
-    assert not await watch.has_ended_during(sent)
-    assert len(watch.find_restarted(catalogue, seconds(11))) == shown
-    assert not watch.find_restarted(catalogue, seconds(11))
+    assert not await detector.has_ended_during(sent)
+    assert len(detector.find_restarted(catalogue, seconds(11))) == shown
+    assert not detector.find_restarted(catalogue, seconds(11))
 
 
-async def test_start_long_after_a_broken_answer_shows_nothing(watch, asked) -> None:
-    asked.is_up = True
-    await watch.has_ended_during(replace(broken("c"), at=seconds(10)))
+async def test_start_long_after_a_broken_answer_is_ignored(detector, alive_check) -> None:
+    alive_check.is_up = True
+    await detector.has_ended_during(replace(broken("c"), at=seconds(10)))
     late = seconds(10.1) + RESTART_VISIBLE_WITHIN
-    assert not watch.find_restarted(listed("e1", 8), late)
+    assert not detector.find_restarted(listed("e1", 8), late)
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -85,18 +85,18 @@
     return made
 
 
-class Board:
+class FakeLoadRequestClient:
     """Answers wishes as a test prepared."""
 
     def __init__(self) -> None:
         self.reply = WantReply(True, "loaded")
         self.replies: list[WantReply] = []
-        self.asked: list[WantAdapter] = []
-        self.on_ask: Callable[[], None] = lambda: None
+        self.requests: list[WantAdapter] = []
+        self.on_request: Callable[[], None] = lambda: None
 
     async def request_load(self, message: WantAdapter) -> WantReply:
-        self.asked.append(message)
-        self.on_ask()
+        self.requests.append(message)
+        self.on_request()
         return self.replies.pop(0) if self.replies else self.reply
 
 
@@ -111,8 +111,8 @@
 
 
 @pytest.fixture
-def board() -> Board:
-    return Board()
+def load_client() -> FakeLoadRequestClient:
+    return FakeLoadRequestClient()
 
 
 @pytest.fixture
@@ -127,9 +127,9 @@
 
 
 @pytest.fixture
-def picker(state: RelayState, board: Board) -> TargetPicker:
+def picker(state: RelayState, load_client: FakeLoadRequestClient) -> TargetPicker:
     metrics = ServingMetrics("h1", "za")
-    return TargetPicker(RelayDependencies(state, None, None, board, metrics, None))
+    return TargetPicker(RelayDependencies(state, None, None, load_client, metrics, None))
 
 
 FOUR_SECONDS = seconds(4)
@@ -152,40 +152,40 @@
     )
 
 
-async def test_engine_that_has_the_adapter_is_not_asked_for(picker, board, clock):
+async def test_engine_that_has_the_adapter_needs_no_load(picker, load_client, clock):
     chosen = await picker.choose(exchange(clock, "a1"))
     assert chosen.target.target_id == "e1"
-    assert board.asked == []
+    assert load_client.requests == []
 
 
-async def test_loaded_adapter_is_used_where_it_was_loaded(picker, board, clock):
+async def test_loaded_adapter_is_used_where_it_was_loaded(picker, load_client, clock):
     chosen = await picker.choose(exchange(clock, "a9"))
-    assert [ask.target for ask in board.asked] == [chosen.target.target_id]
+    assert [ask.target for ask in load_client.requests] == [chosen.target.target_id]
 
 
-async def test_wishes_that_fail_are_asked_a_few_times_only(picker, board, clock):
-    board.reply = WantReply(False, "no answer")
+async def test_failed_load_requests_are_bounded(picker, load_client, clock):
+    load_client.reply = WantReply(False, "no answer")
     with pytest.raises(RequestRefusedError) as refused:
         await picker.choose(exchange(clock, "a9"))
     refusal = refused.value.refusal
-    assert len(board.asked) <= MAX_FAILED_LOAD_REQUESTS
+    assert len(load_client.requests) <= MAX_FAILED_LOAD_REQUESTS
     assert refusal.outcome is Outcome.NOT_RUN
     assert refusal.retry_after is not None
 
 
 async def test_queue_that_is_too_long_refuses_at_once_with_its_length(
-    picker, board, clock
+    picker, load_client, clock
 ):
-    board.reply = WantReply(False, "expected too late", 9.0)
+    load_client.reply = WantReply(False, "expected too late", 9.0)
     with pytest.raises(RequestRefusedError) as refused:
         await picker.choose(exchange(clock, "a9"))
     refusal = refused.value.refusal
     assert refusal.reason is Reason.OVERLOADED
-    assert len(board.asked) == 3
+    assert len(load_client.requests) == 3
     assert seconds(6) < refusal.retry_after < seconds(7)
 
 
-async def test_nobody_to_order_loads_says_when_a_successor_will(
+async def test_refusal_without_a_keeper_says_when_to_retry(
     picker, state, clock, monkeypatch
 ):
     monkeypatch.setattr(RelayState, "keepers", lambda self, places: {})
@@ -206,90 +206,90 @@
         await picker.choose(exchange(clock, "a8", seconds(1)))
 
 
-async def test_waiting_helps_no_longer_than_callers_stay(picker, clock):
+async def test_first_event_wait_is_bounded_by_caller_patience(picker, clock):
     made = exchange(clock, "a9", seconds(15))
     assert made.first_event_left_s(clock.monotonic()) == pytest.approx(3.2)
     clock.turn(3)
     assert made.first_event_left_s(clock.monotonic()) == pytest.approx(0.2)
 
 
-async def test_adapter_is_loaded_only_where_its_model_is(picker, board, clock, state):
+async def test_adapter_is_loaded_only_where_its_model_is(picker, load_client, clock, state):
     other = engine("e4")
     published = other.published
     lacking = TargetPublished(replace(published, models=frozenset({"n"})))
     state.apply_catalogue(catalogue_of(lacking))
     with pytest.raises(RequestRefusedError):
         await picker.choose(exchange(clock, "a9"))
-    assert board.asked == []
+    assert load_client.requests == []
 
 
 async def test_request_that_waits_moves_to_an_engine_that_has_room_now(
-    picker, board, clock
+    picker, load_client, clock
 ):
     """Replay a queue that got longer: the first engine asked says so after a while."""
-    board.replies = [WantReply(False, "queued", 2.0, is_queued=True)]
+    load_client.replies = [WantReply(False, "queued", 2.0, is_queued=True)]
     chosen = await picker.choose(exchange(clock, "a9"))
-    first, second = (ask.target for ask in board.asked)
+    first, second = (ask.target for ask in load_client.requests)
     assert second != first
     assert chosen.target.target_id == second
 
 
-async def test_request_that_waits_stays_where_it_is_next(picker, board, clock):
+async def test_queued_request_stays_on_the_engine_with_the_shortest_wait(picker, load_client, clock):
     queued = WantReply(False, "queued", 0.05, is_queued=True)
-    board.replies = [queued] * (MAX_FAILED_LOAD_REQUESTS + 1)
+    load_client.replies = [queued] * (MAX_FAILED_LOAD_REQUESTS + 1)
     await picker.choose(exchange(clock, "a9"))
-    assert len({ask.target for ask in board.asked}) == 1
+    assert len({ask.target for ask in load_client.requests}) == 1
 
 
 async def test_queue_that_grew_too_long_refuses_before_the_wait_is_over(
-    picker, board, clock
+    picker, load_client, clock
 ):
-    board.replies = [WantReply(False, "queued", 30.0, is_queued=True)] * 3
+    load_client.replies = [WantReply(False, "queued", 30.0, is_queued=True)] * 3
     with pytest.raises(RequestRefusedError) as refused:
         await picker.choose(exchange(clock, "a9"))
     assert refused.value.refusal.reason is Reason.OVERLOADED
-    assert len(board.asked) == 3
-    assert all(ask.look_s < ask.wait_s for ask in board.asked)
+    assert len(load_client.requests) == 3
+    assert all(ask.look_s < ask.wait_s for ask in load_client.requests)
 
 
-async def test_request_that_looks_again_keeps_its_place_in_the_queue(
-    picker, board, clock
+async def test_repeated_load_request_carries_the_time_already_waited(
+    picker, load_client, clock
 ):
-    board.replies = [WantReply(False, "queued", 0.05, is_queued=True)]
-    board.on_ask = lambda: clock.turn(0.4)
+    load_client.replies = [WantReply(False, "queued", 0.05, is_queued=True)]
+    load_client.on_request = lambda: clock.turn(0.4)
     await picker.choose(exchange(clock, "a9"))
-    assert [ask.waited_s for ask in board.asked] == pytest.approx([0.0, 0.4])
+    assert [ask.waited_s for ask in load_client.requests] == pytest.approx([0.0, 0.4])
 
 
 async def test_prompt_counts_where_it_waits_for_its_adapter(
-    picker, board, clock, state
+    picker, load_client, clock, state
 ):
     """Replay a burst of long prompts for rare adapters: each waits elsewhere."""
-    seen = []
+    unread_tokens_seen = []
 
-    def share_then_ask_another() -> None:
-        target = board.asked[-1].target
-        seen.append((target, state.loads.own[target].unread_tokens))
+    def record_unread_tokens() -> None:
+        target = load_client.requests[-1].target
+        unread_tokens_seen.append((target, state.loads.own[target].unread_tokens))
 
-    board.on_ask = share_then_ask_another
+    load_client.on_request = record_unread_tokens
     await picker.choose(exchange(clock, "a9"))
-    assert [tokens for _, tokens in seen] == [2000]
+    assert [tokens for _, tokens in unread_tokens_seen] == [2000]
     assert not state.loads.own
 
 
-async def test_prompts_that_wait_spread_over_engines(picker, board, clock):
+async def test_prompts_that_wait_spread_over_engines(picker, load_client, clock):
     held = asyncio.Event()
 
     async def wait(message: WantAdapter) -> WantReply:
-        board.asked.append(message)
+        load_client.requests.append(message)
         await held.wait()
         return WantReply(True, "loaded")
 
-    board.request_load = wait
+    load_client.request_load = wait
     adapters = ("a5", "a6", "a7")
     waiting = [asyncio.create_task(picker.choose(exchange(clock, a))) for a in adapters]
     await asyncio.sleep(0)
-    assert len({ask.target for ask in board.asked}) == 3
+    assert len({ask.target for ask in load_client.requests}) == 3
     held.set()
     chosen = await asyncio.gather(*waiting)
-    assert [c.target.target_id for c in chosen] == [a.target for a in board.asked]
+    assert [c.target.target_id for c in chosen] == [a.target for a in load_client.requests]
