--- a/packages/daemon/src/sardinequay_daemon/caller_admission.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_admission.py
@@ -59,7 +59,7 @@
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If the route needs a key and the request has none in force.
         """
         if config.organisations is None:
@@ -86,7 +86,7 @@
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If it is beyond the quota.
         """
         now = self.state.clock.monotonic()
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -117,22 +117,22 @@
     def refuse_if_held(self, run: GuardedRun) -> None:
         """Refuse a request whose content is held."""
         now = self.clock.monotonic()
-        left = self.quarantine.hold_left(run.content, now)
-        if not left:
+        remaining = self.quarantine.hold_left(run.content, now)
+        if not remaining:
             return
         if run.may_have_run:
             raise RequestRefusedError(answer_lost_refusal())
         ends = self.quarantine.ends(run.content)
         age_s = (now - ends[-1].at).total_seconds()
         text = f"{len(ends)} targets ended under such requests, one {age_s:.1f} s ago"
-        raise RequestRefusedError(not_run(Reason.QUARANTINED, text, left))
+        raise RequestRefusedError(not_run(Reason.QUARANTINED, text, remaining))
 
     async def may_run(self, run: GuardedRun) -> bool:
         """Return whether a request may run now; after False, look at all anew.
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If others like it kept the permit for too long.
         """
         content = run.content
@@ -175,29 +175,29 @@
     ) -> None:
         """Take that a request's connection broke; nobody's answer waits for more."""
         now = self.clock.monotonic()
-        broken = InterruptedRequest(
+        interrupted = InterruptedRequest(
             run.request_id, run.content, target, incarnation, ran_s, now
         )
-        run.verdict = self.start_task(self.check_target_end(broken))
+        run.verdict = self.start_task(self.check_target_end(interrupted))
 
-    async def check_target_end(self, broken: InterruptedRequest) -> bool:
+    async def check_target_end(self, interrupted: InterruptedRequest) -> bool:
         """Find out whether the target ended, and count that against the content."""
-        has_ended = await self.end_detector.has_ended_during(broken)
+        has_ended = await self.end_detector.has_ended_during(interrupted)
         if has_ended:
-            self.record_target_end(broken)
+            self.record_target_end(interrupted)
         return has_ended
 
     def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Count ends of targets that show by their later starts."""
-        for broken in self.end_detector.find_restarted(catalogue, self.clock.monotonic()):
-            self.record_target_end(broken)
+        for interrupted in self.end_detector.find_restarted(catalogue, self.clock.monotonic()):
+            self.record_target_end(interrupted)
 
-    def record_target_end(self, broken: InterruptedRequest) -> None:
+    def record_target_end(self, interrupted: InterruptedRequest) -> None:
         """Count a target's end against the content of a request that was there."""
         now = self.clock.monotonic()
-        end = TargetEnd(broken.target.target_id, broken.incarnation, now)
-        if self.quarantine.add(broken.content, end, now):
-            self.publish_change(broken.content, is_own=True)
+        end = TargetEnd(interrupted.target.target_id, interrupted.incarnation, now)
+        if self.quarantine.add(interrupted.content, end, now):
+            self.publish_change(interrupted.content, is_own=True)
 
     def record_answer(self, content: ContentId) -> None:
         """Take that a request was answered: it ends no target."""
@@ -233,8 +233,8 @@
         address = self.fleet.address_of(issuer)
         if issuer == self.me or address is None:
             return self.permits.grant(content, permit, now)
-        ask = AskPermit(permit, content_update(self.quarantine, content, now))
-        answer = await self.peers.call(address, ask, PERMIT_CALL_TIMEOUT_S)
+        request = AskPermit(permit, content_update(self.quarantine, content, now))
+        answer = await self.peers.call(address, request, PERMIT_CALL_TIMEOUT_S)
         reply = answer.value_or(None)
         if not isinstance(reply, PermitReply):
             log.warning("no permit giver", extra={"content": content, "peer": issuer})
@@ -242,13 +242,13 @@
         self.apply_update(reply.news)
         return reply.is_granted
 
-    async def handle_ask_permit(self, ask: AskPermit) -> PermitReply:
+    async def handle_ask_permit(self, request: AskPermit) -> PermitReply:
         """Give a permit, unless another run has it or the content is held."""
-        self.apply_update(ask.news)
-        content = ask.news.content
+        self.apply_update(request.news)
+        content = request.news.content
         now = self.clock.monotonic()
         is_granted = not self.quarantine.hold_left(content, now) and self.permits.grant(
-            content, ask.run, now
+            content, request.run, now
         )
         return PermitReply(is_granted, content_update(self.quarantine, content, now))
 
@@ -262,13 +262,13 @@
         address = self.fleet.address_of(issuer)
         if issuer != self.me and address is not None:
             now = self.clock.monotonic()
-            back = PermitBack(permit, content_update(self.quarantine, content, now))
-            await self.peers.call(address, back, PERMIT_CALL_TIMEOUT_S)
+            message = PermitBack(permit, content_update(self.quarantine, content, now))
+            await self.peers.call(address, message, PERMIT_CALL_TIMEOUT_S)
 
-    async def handle_permit_back(self, back: PermitBack) -> ContentsReply:
+    async def handle_permit_back(self, message: PermitBack) -> ContentsReply:
         """Take a permit back."""
-        self.apply_update(back.news)
-        self.permits.give_back(back.news.content, back.run)
+        self.apply_update(message.news)
+        self.permits.give_back(message.news.content, message.run)
         return ContentsReply(())
 
     # News.
@@ -286,8 +286,8 @@
     def publish_change(self, content: ContentId, is_own: bool) -> None:
         """Log a content that is held from now on, and have peers told."""
         now = self.clock.monotonic()
-        left = self.quarantine.hold_left(content, now)
-        if left:
+        remaining = self.quarantine.hold_left(content, now)
+        if remaining:
             held = self.describe_held_content(content, now)
             log.warning("content quarantined", extra=asdict(held))
         self.fleet.announce_content(content, is_own)
@@ -302,12 +302,12 @@
     def describe_held_content(self, content: ContentId, now: Instant) -> HeldContent:
         """Return one content that is held."""
         ends = self.quarantine.ends(content)
-        left = self.quarantine.hold_left(content, now)
+        remaining = self.quarantine.hold_left(content, now)
         return HeldContent(
             content,
             [e.target for e in ends],
             round((now - ends[-1].at).total_seconds(), 3),
-            round(left.total_seconds(), 3),
+            round(remaining.total_seconds(), 3),
         )
 
     # Upkeep.
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -85,18 +85,18 @@
             ran = answer.headers.get(ADAPTER_HEADER)
             if ran != str(self.request.adapter):
                 raise RequestRefusedError(wrong_adapter_refusal(ran))
-            async with aclosing(events_of(answer)) as parts:
-                async for part in parts:
-                    yield part
+            async with aclosing(events_of(answer)) as event_batches:
+                async for event_batch in event_batches:
+                    yield event_batch
 
     async def resume(self, after: int) -> AsyncGenerator[EventBatch, None]:
         """Open the stream again and yield the events after one."""
         async with (
             self.engines.resume(self.address, self.request_id, after) as answer,
-            aclosing(events_of(answer)) as parts,
+            aclosing(events_of(answer)) as event_batches,
         ):
-            async for part in parts:
-                yield part
+            async for event_batch in event_batches:
+                yield event_batch
 
 
 class ModelDispatcher:
@@ -131,8 +131,8 @@
             try:
                 attempts = self.events_with_retries(request, progress, span, run)
                 async with aclosing(attempts) as events:
-                    async for part in events:
-                        yield part
+                    async for event_batch in events:
+                        yield event_batch
                 self.guard.record_answer(run.content)
             finally:
                 self.guard.release_permit(run)
@@ -159,9 +159,9 @@
             progress.begin_attempt()
             began = self.leases.clock.monotonic()
             try:
-                async with aclosing(self.run_on_engine(use, request, progress, span)) as parts:
-                    async for part in parts:
-                        yield part
+                async with aclosing(self.run_on_engine(use, request, progress, span)) as event_batches:
+                    async for event_batch in event_batches:
+                        yield event_batch
                 return
             except TargetError as error:
                 target = self.leases.targets.get(use.target)
@@ -207,9 +207,9 @@
                 self.engines, address, request_id, request, self.tracing.headers(span)
             )
             try:
-                async with aclosing(self.events_with_resume(run, progress)) as parts:
-                    async for part in parts:
-                        yield part
+                async with aclosing(self.events_with_resume(run, progress)) as event_batches:
+                    async for event_batch in event_batches:
+                        yield event_batch
                 finished = True
             except TargetError as error:
                 finished = error.proves_not_run
@@ -226,12 +226,12 @@
         source = run.start()
         while True:
             try:
-                async with aclosing(source) as parts:
-                    async for part in parts:
-                        check_event_order(part, progress.last_event)
-                        progress.last_event = part.last_id or progress.last_event
-                        yield part
-                        if part.done:
+                async with aclosing(source) as event_batches:
+                    async for event_batch in event_batches:
+                        check_event_order(event_batch, progress.last_event)
+                        progress.last_event = event_batch.last_id or progress.last_event
+                        yield event_batch
+                        if event_batch.done:
                             return
                 raise TargetError(TargetFault.BROKEN, "the stream ended early")
             except TargetError as error:
@@ -280,10 +280,10 @@
     return f"{request.envelope.request_id}.{progress.attempts}-{nonce}"
 
 
-def check_event_order(part: EventBatch, last: int) -> None:
+def check_event_order(event_batch: EventBatch, last: int) -> None:
     """Refuse events that leave a gap or repeat what was passed on."""
-    if part.first_id and part.first_id != last + 1:
-        detail = f"event {part.first_id} after {last}"
+    if event_batch.first_id and event_batch.first_id != last + 1:
+        detail = f"event {event_batch.first_id} after {last}"
         raise TargetError(TargetFault.BROKEN, detail)
 
 
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -37,7 +37,7 @@
     ----------
     deadline : timedelta
         The earlier of the caller's and the route's, on this host's monotonic clock.
-    guarded : GuardedRun
+    guarded_run : GuardedRun
         The request as far as it concerns whether its content may run.
     organisation : Organisation or None
         Who asks, where that is known.
@@ -71,9 +71,9 @@
     @property
     def priority(self) -> int:
         """Return the request's rank, 0 first: its organisation's before its route's."""
-        asks = self.organisation
-        if asks is not None and asks.priority is not None:
-            return asks.priority
+        organisation = self.organisation
+        if organisation is not None and organisation.priority is not None:
+            return organisation.priority
         return self.route.priority
 
     def begin_repeat(self, budget: RepeatBudget) -> None:
--- a/packages/daemon/src/sardinequay_daemon/progress.py
+++ b/packages/daemon/src/sardinequay_daemon/progress.py
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    under_way : bool
+    attempt_in_flight : bool
         Whether an attempt is at a target now.
     is_uncertain : bool
         Whether some attempt ended without a proof that it had not run. No later attempt
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -89,9 +89,9 @@
     def other_addresses(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
         me = self.membership.membership.me.address
-        here = {m.address for m in self.membership.live.value}
-        elsewhere = {h.peer_address for h in self.membership.remote_hosts()}
-        return sorted((here | elsewhere) - {me})
+        local_addresses = {m.address for m in self.membership.live.value}
+        remote_addresses = {h.peer_address for h in self.membership.remote_hosts()}
+        return sorted((local_addresses | remote_addresses) - {me})
 
     async def send_to(self, address: Address, message: ContentsTold) -> None:
         """Tell one host; one that misses it asks."""
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -36,9 +36,9 @@
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If it ends without an answer of a target.
-        BrokenOffError
+        AnswerCutOffError
             If its answer had begun and was not completed.
         """
         self.state.repeat_budget(exchange.pool).request(self.clock.monotonic())
@@ -75,16 +75,16 @@
         if end is AttemptEnd.REJECTED:
             exchange.rejections[target] += 1
 
-    async def resend(self, lost: Attempt, sink: AnswerSink) -> AttemptEnd | None:
+    async def resend(self, lost_attempt: Attempt, sink: AnswerSink) -> AttemptEnd | None:
         """Send what a kept connection lost to the same target over a new one.
 
         Both sends are one of the runs that the route permits: they reach one target.
         """
-        exchange = lost.exchange
+        exchange = lost_attempt.exchange
         exchange.guarded_run.may_have_run = True
         time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
         if not await self.guard.wait_for_verdict(exchange.guarded_run, time_left_s):
-            lost.record_verdict(Verdict.FAILED)
+            lost_attempt.record_verdict(Verdict.FAILED)
             return AttemptEnd.MAY_HAVE_RUN
         if not await self.guard.may_run(exchange.guarded_run):
             return AttemptEnd.MAY_HAVE_RUN
@@ -94,8 +94,8 @@
             return AttemptEnd.MAY_HAVE_RUN
         self.log_retry_decision(exchange, AttemptEnd.LOST_ON_KEPT, Next.AGAIN, use)
         exchange.begin_repeat(self.state.repeat_budget(exchange.pool))
-        again = Attempt(self.parts, exchange, lost.published, is_resend=True)
-        end = await self.run_attempt(again, sink)
+        second_attempt = Attempt(self.parts, exchange, lost_attempt.published, is_resend=True)
+        end = await self.run_attempt(second_attempt, sink)
         return AttemptEnd.MAY_HAVE_RUN if end is not None else None
 
     async def wait_for_verdict(self, exchange: RelayExchange) -> None:
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -50,7 +50,7 @@
     def __init__(
         self,
         relay: Relay,
-        gate: CallerAdmission,
+        admission: CallerAdmission,
         state: RelayState,
         dialect: HttpDialect,
         metrics: ServingMetrics,
@@ -60,7 +60,7 @@
     ) -> None:
         super().__init__(self.handle, handler_cancellation=True)
         self.relay = relay
-        self.gate = gate
+        self.admission = admission
         self.state = state
         self.dialect = dialect
         self.metrics = metrics
@@ -131,10 +131,10 @@
             config, route = self.find_route(http)
             answer.route = route.name
             answer.goal_s = route.goal.total_seconds()
-            organisation = self.gate.authenticate(config, route, terms)
+            organisation = self.admission.authenticate(config, route, terms)
             answer.organisation = organisation.name if organisation is not None else ""
             self.refuse_if_closing(route)
-            admitted = None if organisation is None else self.gate.admit(organisation, terms)
+            admitted = None if organisation is None else self.admission.admit(organisation, terms)
             exchange = await self.build_exchange(http, terms, config, route, organisation, arrived)
             try:
                 await self.relay.serve(exchange, answer.sink())
@@ -144,7 +144,7 @@
             return await answer.finish(request_id)
         except RequestRefusedError as refused:
             if admitted is not None and refused.refusal.outcome is Outcome.NOT_RUN:
-                self.gate.refund(admitted)
+                self.admission.refund(admitted)
             return await answer.refuse(request_id, refused.refusal)
         except AnswerCutOffError:
             return answer.abort_answer(request_id, "the target's answer broke off")
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -61,11 +61,11 @@
 
     Parameters
     ----------
-    view_from : HostId or None
+    fleet_view_hub : HostId or None
         The hub that told what all other hosts have, if one did last.
-    view_at : timedelta
+    fleet_view_at : timedelta
         When it did.
-    slack_from : timedelta
+    repeat_slack_from : timedelta
         When this host has its share of the slack of repeats.
     """
 
--- a/packages/daemon/src/sardinequay_daemon/single_send.py
+++ b/packages/daemon/src/sardinequay_daemon/single_send.py
@@ -54,7 +54,7 @@
     ----------
     on_send : callable
         Called when the request goes out.
-    is_on_kept : bool
+    is_on_reused_connection : bool
         Whether it went over a connection that had been used before.
     """
 
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -38,22 +38,22 @@
 
         Parameters
         ----------
-        barred : frozenset
+        excluded : frozenset
             Engines that failed or rejected the request.
-        told : mapping
+        expected_load_s : mapping
             How long the adapter would take, in seconds, by what engines' keepers said.
         """
         now = self.state.clock.monotonic()
         usable = self.usable_targets(pool, now)
-        order = rank(terms.adapter, [t.target.target_id for t in usable])
-        home = {target: place for place, target in enumerate(order)}
-        here = {t.target.data_centre for t in usable}
-        keepers = self.state.keepers(here)
+        ranking = rank(terms.adapter, [t.target.target_id for t in usable])
+        home_ranks = {target: position for position, target in enumerate(ranking)}
+        data_centres = {t.target.data_centre for t in usable}
+        keepers = self.state.keepers(data_centres)
         return [
             self.engine_option(
                 t,
                 terms,
-                home[t.target.target_id],
+                home_ranks[t.target.target_id],
                 keepers.get(t.target.data_centre),
                 now,
                 was_barred=t.target.target_id in excluded,
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -92,17 +92,17 @@
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If each usable target of a plain pool has rejected it often enough. Engines
             are left to their own choice.
         """
         if exchange.terms.model:
             return NEXT_TARGET_PAUSE_S
         usable = self.options.usable_targets(exchange.pool, self.clock.monotonic())
-        asked = [exchange.rejections[t.target.target_id] for t in usable]
-        if 0 in asked:
+        rejection_counts = [exchange.rejections[t.target.target_id] for t in usable]
+        if 0 in rejection_counts:
             return NEXT_TARGET_PAUSE_S
-        if min(asked, default=MAX_REJECTIONS_PER_TARGET) < MAX_REJECTIONS_PER_TARGET:
+        if min(rejection_counts, default=MAX_REJECTIONS_PER_TARGET) < MAX_REJECTIONS_PER_TARGET:
             return SAME_TARGET_PAUSE_S
         if exchange.attempts_so_far.runs:
             raise RequestRefusedError(answer_lost_refusal())
--- a/packages/daemon/src/sardinequay_daemon/upstream.py
+++ b/packages/daemon/src/sardinequay_daemon/upstream.py
@@ -35,7 +35,7 @@
 
     Parameters
     ----------
-    may_use_kept : bool
+    may_reuse_connection : bool
         Whether it may use a connection that was used before. What must not run twice
         takes a new one: an old one may have gone silent, or hold another's answer.
     """
@@ -78,10 +78,10 @@
     """Connections to targets."""
 
     def __init__(self, source_ip: str) -> None:
-        self.pooled = make_session(
+        self.pooled_session = make_session(
             UpstreamConnector(source_ip, keepalive_timeout=KEEPALIVE_S)
         )
-        self.fresh = make_session(UpstreamConnector(source_ip, force_close=True))
+        self.fresh_session = make_session(UpstreamConnector(source_ip, force_close=True))
 
     @asynccontextmanager
     async def send(
@@ -98,7 +98,7 @@
 
         Parameters
         ----------
-        note_send : callable
+        on_send : callable
             Called when the request goes out.
 
         Raises
@@ -120,7 +120,7 @@
         on_send: Callable[[], None],
     ) -> aiohttp.ClientResponse:
         """Send a request and wait for the head of its answer."""
-        session = self.pooled if request.may_reuse_connection else self.fresh
+        session = self.pooled_session if request.may_reuse_connection else self.fresh_session
         url = URL(f"http://{address}{request.path}", encoded=True)
         send = CountedSend(on_send)
         timer = asyncio.timeout(timeout_s)
@@ -143,8 +143,8 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        await self.pooled.close()
-        await self.fresh.close()
+        await self.pooled_session.close()
+        await self.fresh_session.close()
 
 
 def make_session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
