--- a/packages/daemon/src/sardinequay_daemon/answers.py
+++ b/packages/daemon/src/sardinequay_daemon/answers.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.outcome import Refusal
 
-from .server_sent_events import DONE, EVENT_END, data_of
+from .server_sent_events import DONE, EVENT_END, event_data
 
 REQUEST_HEADER = "Sardinequay-Request"
 OUTCOME_HEADER = "Sardinequay-Outcome"
@@ -58,7 +58,7 @@
     return b"event: error\ndata: " + body + EVENT_END
 
 
-class WholeAnswer:
+class CompletionAssembler:
     """Puts the chunks of a stream together into the answer of one piece."""
 
     def __init__(self) -> None:
@@ -66,14 +66,14 @@
         self.texts: dict[int, list[str]] = {}
         self.choices: dict[int, dict[str, Any]] = {}
 
-    def take(self, data: bytes) -> None:
+    def add_events(self, data: bytes) -> None:
         """Take whole events."""
         for event in data.split(EVENT_END):
-            payload = data_of(event)
+            payload = event_data(event)
             if payload and DONE not in event:
-                self.take_chunk(msgspec.json.decode(payload))
+                self.add_chunk(msgspec.json.decode(payload))
 
-    def take_chunk(self, chunk: dict[str, Any]) -> None:
+    def add_chunk(self, chunk: dict[str, Any]) -> None:
         """Take one chunk of a completion or of a chat."""
         self.template.update({k: v for k, v in chunk.items() if k != "choices"})
         for choice in chunk.get("choices", ()):
@@ -81,22 +81,22 @@
             delta = choice.get("delta") or {}
             text = choice.get("text") or delta.get("content") or ""
             self.texts.setdefault(index, []).append(text)
-            kept = self.choices.setdefault(index, {"index": index})
-            kept.update({k: v for k, v in choice.items() if k not in ("text", "delta")})
-            kept.setdefault("is_chat", "delta" in choice)
+            merged = self.choices.setdefault(index, {"index": index})
+            merged.update({k: v for k, v in choice.items() if k not in ("text", "delta")})
+            merged.setdefault("is_chat", "delta" in choice)
 
     def body(self) -> bytes:
         """Return the whole answer as JSON."""
-        choices = [self.choice(index) for index in sorted(self.choices)]
+        choices = [self.whole_choice(index) for index in sorted(self.choices)]
         kind = str(self.template.get("object", "")).removesuffix(".chunk")
         return msgspec.json.encode(
             {**self.template, "object": kind, "choices": choices}
         )
 
-    def choice(self, index: int) -> dict[str, Any]:
+    def whole_choice(self, index: int) -> dict[str, Any]:
         """Return one choice with its whole text."""
-        kept = dict(self.choices[index])
+        merged = dict(self.choices[index])
         text = "".join(self.texts[index])
-        if kept.pop("is_chat"):
-            return {**kept, "message": {"role": "assistant", "content": text}}
-        return {**kept, "text": text}
+        if merged.pop("is_chat"):
+            return {**merged, "message": {"role": "assistant", "content": text}}
+        return {**merged, "text": text}
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -13,33 +13,33 @@
 from sardinequay_core.target_health import AttemptResult
 
 from .errors import TargetError, TargetFault
-from .exchange import AnswerHead, Exchange, Sink
+from .exchange import AnswerHead, RelayExchange, AnswerSink
 from .relay_state import RelayState
-from .server_sent_events import EventCutter
+from .server_sent_events import EventSplitter
 from .serving_metrics import ServingMetrics
-from .serving_ports import AnswerFacts, CallDialect, SendTerms
-from .target_errors import TurnedErrors
+from .serving_ports import AnswerFacts, HttpDialect, SendTerms
+from .target_errors import TargetErrorTranslator
 from .tracing import Tracing
-from .upstream import MAX_WHOLE_BYTES, Outgoing, Upstream
-from .wants import WantBoard
+from .upstream import MAX_BUFFERED_BYTES, UpstreamRequest, Upstream
+from .load_requests import LoadRequestClient
 
-IDEMPOTENT_PATIENCE = 2.0
+HEAD_TIMEOUT_GOALS = 2.0
 """Goals that an idempotent request waits on one target before another is tried."""
 
-SHORTEST_PATIENCE_S = 0.15
-LEAST_URGENT = 9
+MIN_HEAD_TIMEOUT_S = 0.15
+LOWEST_URGENCY = 9
 SERVER_ERROR = 500
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class RelayParts:
+class RelayDependencies:
     """What relaying a request needs."""
 
     state: RelayState
-    dialect: CallDialect
+    dialect: HttpDialect
     upstream: Upstream
-    wants: WantBoard
+    load_requests: LoadRequestClient
     metrics: ServingMetrics
     tracing: Tracing
 
@@ -55,8 +55,8 @@
 
     def __init__(
         self,
-        parts: RelayParts,
-        exchange: Exchange,
+        parts: RelayDependencies,
+        exchange: RelayExchange,
         published: PublishedTarget,
         is_resend: bool = False,
     ) -> None:
@@ -72,8 +72,8 @@
         self.adapter = self.find_adapter()
         self.sent_at = self.clock.monotonic()
         self.expected_s = 0.0
-        self.usual_s = 0.0
-        self.has_first = False
+        self.typical_s = 0.0
+        self.has_first_event = False
         self.was_served = False
         self.trace_headers: dict[str, str] = {}
 
@@ -81,44 +81,44 @@
         """Return the adapter as the target holds it."""
         if not self.exchange.terms.adapter:
             return None
-        wanted = self.state.wanted(self.exchange.terms)
+        wanted = self.state.required_adapter(self.exchange.terms)
         return self.state.residency.resident_adapter(self.published, wanted) or wanted
 
-    def enter(self) -> None:
+    def begin_accounting(self) -> None:
         """Count the attempt in."""
         loads = self.state.loads
         now = self.clock.monotonic()
         self.expected_s = loads.expected_first_event_s(self.target_id, self.tokens, now)
-        self.usual_s = loads.nominal_read_s(self.target_id, self.tokens, now)
+        self.typical_s = loads.nominal_read_s(self.target_id, self.tokens, now)
         loads.record_dispatch(self.target_id, self.tokens)
         if not self.tokens:
-            self.first_event()
+            self.record_first_event()
         if self.adapter is not None:
             count = self.state.uses.adjust_own_count(self.target_id, self.adapter, 1)
-            self.parts.wants.tell_use(self.target_id, self.adapter, count)
+            self.parts.load_requests.report_use(self.target_id, self.adapter, count)
         self.state.health.record_sent(self.target_id)
 
-    def leave(self) -> None:
+    def end_accounting(self) -> None:
         """Count the attempt out."""
-        self.state.loads.record_end(self.target_id, self.tokens, self.has_first)
+        self.state.loads.record_end(self.target_id, self.tokens, self.has_first_event)
         self.state.health.record_request_end(self.target_id)
-        if self.adapter is not None and self.is_same_start():
+        if self.adapter is not None and self.is_same_incarnation():
             count = self.state.uses.adjust_own_count(self.target_id, self.adapter, -1)
             if not count:
-                self.parts.wants.tell_use(self.target_id, self.adapter, count)
+                self.parts.load_requests.report_use(self.target_id, self.adapter, count)
 
-    def is_same_start(self) -> bool:
+    def is_same_incarnation(self) -> bool:
         """Return whether the target has not started again since it was chosen."""
         now = self.state.catalogue.targets.get(self.target_id)
         return now is None or now.incarnation == self.published.incarnation
 
-    def first_event(self) -> None:
+    def record_first_event(self) -> None:
         """Count the prompt as read."""
-        if not self.has_first:
-            self.has_first = True
+        if not self.has_first_event:
+            self.has_first_event = True
             self.state.loads.record_first_event(self.target_id, self.tokens)
 
-    def judge(self, verdict: AttemptResult) -> None:
+    def record_verdict(self, verdict: AttemptResult) -> None:
         """Let the attempt's end count for or against the target."""
         is_out = self.state.health.record_result(
             self.target_id, verdict, self.sent_at, self.clock.monotonic()
@@ -134,7 +134,7 @@
                 },
             )
 
-    def outgoing(self) -> Outgoing:
+    def build_request(self) -> UpstreamRequest:
         """Return the request as it goes to the target."""
         exchange = self.exchange
         version = ""
@@ -145,14 +145,14 @@
         terms = SendTerms(
             self.target,
             max(seconds(0.001), exchange.deadline - self.clock.monotonic()),
-            min(LEAST_URGENT, exchange.priority) if self.tokens else None,
+            min(LOWEST_URGENCY, exchange.priority) if self.tokens else None,
             version,
             exchange.last_event,
             exchange.organisation.name if exchange.organisation else "",
         )
-        headers = self.parts.dialect.forwarded(exchange.headers, exchange.terms, terms)
+        headers = self.parts.dialect.target_headers(exchange.headers, exchange.terms, terms)
         headers.update(self.trace_headers)
-        return Outgoing(
+        return UpstreamRequest(
             exchange.method,
             exchange.path,
             headers,
@@ -160,53 +160,53 @@
             exchange.route.repetition.may_run_again and not self.is_resend,
         )
 
-    def patience_s(self) -> float:
+    def head_timeout_s(self) -> float:
         """Return how long to wait for the answer's head, in seconds."""
         exchange = self.exchange
-        left_s = max(0.001, exchange.left(self.clock.monotonic()).total_seconds())
+        left_s = max(0.001, exchange.time_left(self.clock.monotonic()).total_seconds())
         route = exchange.route
-        can_repeat = exchange.so_far.runs + 1 < route.max_runs
+        can_repeat = exchange.attempts_so_far.runs + 1 < route.max_runs
         if not (route.repetition.may_run_again and can_repeat):
             return left_s
         goal_s = route.goal.total_seconds()
         if route.repetition.is_stream:
-            return min(left_s, max(IDEMPOTENT_PATIENCE * goal_s, self.expected_s * 2))
-        return min(left_s, max(SHORTEST_PATIENCE_S, IDEMPOTENT_PATIENCE * goal_s))
+            return min(left_s, max(HEAD_TIMEOUT_GOALS * goal_s, self.expected_s * 2))
+        return min(left_s, max(MIN_HEAD_TIMEOUT_S, HEAD_TIMEOUT_GOALS * goal_s))
 
-    async def run(self, sink: Sink) -> AttemptEnd | None:
+    async def execute(self, sink: AnswerSink) -> AttemptEnd | None:
         """Send, and pass the answer on."""
         upstream = self.parts.upstream
-        request = self.outgoing()
+        request = self.build_request()
         address = self.target.address
         async with upstream.send(
-            address, request, self.patience_s(), self.note_send
+            address, request, self.head_timeout_s(), self.count_send
         ) as answer:
             self.exchange.end_repeat(self.clock.monotonic())
-            facts = self.parts.dialect.facts(answer.status, answer.headers)
+            facts = self.parts.dialect.read_facts(answer.status, answer.headers)
             if facts.request_id != self.exchange.terms.request_id:
                 detail = f"an answer to {facts.request_id!r}"
                 raise TargetError(TargetFault.BROKEN, detail)
             if facts.not_run:
-                return self.rejected(answer.status, facts)
-            return await self.answered(answer, sink)
+                return self.handle_rejection(answer.status, facts)
+            return await self.forward_answer(answer, sink)
 
-    def note_send(self) -> None:
+    def count_send(self) -> None:
         """Count the request as sent to the target."""
         self.parts.metrics.sends.inc({"pool": self.exchange.pool})
 
-    def rejected(self, status: int, facts: AnswerFacts) -> AttemptEnd:
+    def handle_rejection(self, status: int, facts: AnswerFacts) -> AttemptEnd:
         """Take the target's statement that it has not run the request."""
         exchange = self.exchange
         end = AttemptEnd.REJECTED
         if facts.is_misdirected:
             end = AttemptEnd.MISDIRECTED
             if facts.instance and facts.instance != self.target_id:
-                self.judge(AttemptResult.CONNECTION_LOST)
-            elif self.adapter is not None and self.is_same_start():
+                self.record_verdict(AttemptResult.CONNECTION_LOST)
+            elif self.adapter is not None and self.is_same_incarnation():
                 self.state.residency.record_missing(self.published, self.adapter)
-                self.parts.wants.tell_missing(self.published, self.adapter)
+                self.parts.load_requests.report_missing(self.published, self.adapter)
         else:
-            self.judge(AttemptResult.REJECTED)
+            self.record_verdict(AttemptResult.REJECTED)
         log.info(
             "attempt rejected",
             extra={
@@ -219,124 +219,124 @@
         )
         return end
 
-    def failed(self, error: TargetError) -> AttemptEnd:
+    def handle_failure(self, error: TargetError) -> AttemptEnd:
         """Take a failure on the way."""
         exchange = self.exchange
         end = AttemptEnd.MAY_HAVE_RUN
-        if exchange.has_begun:
+        if exchange.answer_started:
             end = AttemptEnd.BROKEN_OFF
         if error.fault is TargetFault.NOT_SENT:
             end = AttemptEnd.NOT_SENT
-            self.judge(AttemptResult.UNREACHABLE)
+            self.record_verdict(AttemptResult.UNREACHABLE)
         elif error.fault is TargetFault.LOST_ON_KEPT:
             # Targets close connections that they kept at any moment: that alone says
             # nothing against one.
             end = AttemptEnd.LOST_ON_REUSED_CONNECTION
         elif error.fault is TargetFault.SILENT:
-            self.judge(AttemptResult.TIMED_OUT)
+            self.record_verdict(AttemptResult.TIMED_OUT)
         else:
-            self.judge(AttemptResult.FAILED)
+            self.record_verdict(AttemptResult.FAILED)
         log.info(
             "attempt failed",
             extra={
                 "request": exchange.terms.request_id,
                 "target": self.target_id,
-                "content": exchange.guarded.content,
+                "content": exchange.guarded_run.content,
                 "end": end.value,
                 "detail": error.detail,
-                "sent_for_s": round(self.taken_s(), 4),
+                "sent_for_s": round(self.elapsed_s(), 4),
             },
         )
         return end
 
-    def taken_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Return how long the attempt has taken, in seconds."""
         return (self.clock.monotonic() - self.sent_at).total_seconds()
 
-    async def answered(
-        self, answer: aiohttp.ClientResponse, sink: Sink
+    async def forward_answer(
+        self, answer: aiohttp.ClientResponse, sink: AnswerSink
     ) -> AttemptEnd | None:
         """Pass an answer on."""
         exchange = self.exchange
         is_failure = answer.status >= SERVER_ERROR
         if is_failure:
-            self.judge(AttemptResult.FAILED)
-            so_far = exchange.so_far.with_attempt(AttemptEnd.MAY_HAVE_RUN)
-            if exchange.has_begun or (
+            self.record_verdict(AttemptResult.FAILED)
+            attempts = exchange.attempts_so_far.with_attempt(AttemptEnd.MAY_HAVE_RUN)
+            if exchange.answer_started or (
                 exchange.route.repetition.may_run_again
-                and so_far.runs < exchange.route.max_runs
+                and attempts.runs < exchange.route.max_runs
             ):
                 return AttemptEnd.MAY_HAVE_RUN
         if exchange.route.repetition.is_stream:
-            await self.stream(answer, sink)
+            await self.forward_stream(answer, sink)
         else:
-            await self.pass_whole(answer, sink)
+            await self.forward_body(answer, sink)
         if not is_failure:
             self.was_served = True
-            self.judge(AttemptResult.SUCCEEDED)
+            self.record_verdict(AttemptResult.SUCCEEDED)
         return None
 
-    async def begin(self, answer: aiohttp.ClientResponse, sink: Sink) -> None:
+    async def forward_head(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Send the answer's head on, if none was."""
-        if not self.exchange.has_begun:
-            self.exchange.has_begun = True
-            await sink.begin(AnswerHead(answer.status, answer))
+        if not self.exchange.answer_started:
+            self.exchange.answer_started = True
+            await sink.begin_answer(AnswerHead(answer.status, answer))
 
-    async def pass_whole(self, answer: aiohttp.ClientResponse, sink: Sink) -> None:
+    async def forward_body(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Pass a plain answer on: in one piece if it is small, else as it comes.
 
         The caller gets nothing of an answer that breaks off while it is small, so that
         another target may still answer.
         """
-        body = Body(answer, self.exchange, self.clock)
-        held: list[bytes] = []
+        body = AnswerBody(answer, self.exchange, self.clock)
+        chunks: list[bytes] = []
         size = 0
-        while data := await body.next():
-            held.append(data)
+        while data := await body.read_chunk():
+            chunks.append(data)
             size += len(data)
-            if size > MAX_WHOLE_BYTES:
-                await self.begin(answer, sink)
-                await sink.write(b"".join(held))
-                held.clear()
-        await self.begin(answer, sink)
-        await sink.write(b"".join(held))
-
-    async def stream(self, answer: aiohttp.ClientResponse, sink: Sink) -> None:
+            if size > MAX_BUFFERED_BYTES:
+                await self.forward_head(answer, sink)
+                await sink.write_body(b"".join(chunks))
+                chunks.clear()
+        await self.forward_head(answer, sink)
+        await sink.write_body(b"".join(chunks))
+
+    async def forward_stream(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
         """Pass a stream on, event by event."""
         exchange = self.exchange
-        cutter = EventCutter()
-        body = Body(answer, exchange, self.clock)
-        while data := await body.next():
-            events = cutter.feed(data)
+        splitter = EventSplitter()
+        body = AnswerBody(answer, exchange, self.clock)
+        while data := await body.read_chunk():
+            events = splitter.feed(data)
             if events is None:
                 continue
             if events.last_id:
                 exchange.last_event = str(events.last_id)
-            if not self.has_first:
-                self.first_event()
-                self.learn_pace()
-            await self.begin(answer, sink)
-            await sink.write(events.data)
-        await self.begin(answer, sink)
-        await sink.write(cutter.rest)
-
-    def learn_pace(self) -> None:
+            if not self.has_first_event:
+                self.record_first_event()
+                self.record_read_pace()
+            await self.forward_head(answer, sink)
+            await sink.write_body(events.data)
+        await self.forward_head(answer, sink)
+        await sink.write_body(splitter.remainder)
+
+    def record_read_pace(self) -> None:
         """Learn how fast the engine reads from when its first event came."""
         now = self.clock.monotonic()
-        self.state.loads.record_pace(self.target_id, self.usual_s, self.taken_s(), now)
+        self.state.loads.record_pace(self.target_id, self.typical_s, self.elapsed_s(), now)
 
 
-class Body:
+class AnswerBody:
     """The bytes of an answer as they come, within the request's time."""
 
     def __init__(
-        self, answer: aiohttp.ClientResponse, exchange: Exchange, clock: Clock
+        self, answer: aiohttp.ClientResponse, exchange: RelayExchange, clock: Clock
     ) -> None:
         self.answer = answer
         self.exchange = exchange
         self.clock = clock
 
-    async def next(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes; none at the end.
 
         Raises
@@ -344,10 +344,10 @@
         TargetError
             If the answer breaks off, or the request's time is over.
         """
-        left_s = self.exchange.left(self.clock.monotonic()).total_seconds()
+        left_s = self.exchange.time_left(self.clock.monotonic()).total_seconds()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                with TurnedErrors():
+                with TargetErrorTranslator():
                     return await self.answer.content.readany()
         except TimeoutError as error:
             detail = "the request's time is over"
--- a/packages/daemon/src/sardinequay_daemon/caller_gate.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_admission.py
@@ -13,25 +13,25 @@
 from sardinequay_core.quota_ledger import Admitted, OverQuota
 from sardinequay_core.serving import Route, ServingConfig
 
-from .progress import Refused
+from .progress import RequestRefusedError
 from .relay_state import RelayState
 from .serving_metrics import ServingMetrics
 from .serving_ports import RequestTerms
 
-STALE_S = 3.0
+STALE_STORE_AGE_S = 3.0
 """A host that has heard nothing of the store for so long, by itself or from peers, may
 miss a key that was added: longer than a watch lasts, shorter than a change may take."""
 
 STALE_RETRY = seconds(0.2)
 """Another host that a caller comes to may know more."""
 
-SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Callers that are over a quota come back spread over this part of their wait."""
 
-SOONEST = seconds(0.1)
+MIN_RETRY_AFTER = seconds(0.1)
 
 
-class CallerGate:
+class CallerAdmission:
     """Knows the organisations in force and their quotas.
 
     Parameters
@@ -50,7 +50,7 @@
         self.store_age_s = store_age_s
         self.metrics = metrics
 
-    def organisation(
+    def authenticate(
         self, config: ServingConfig, route: Route, terms: RequestTerms
     ) -> Organisation | None:
         """Return who asks; None where nobody needs to say.
@@ -59,20 +59,20 @@
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If the route needs a key and the request has none in force.
         """
         if config.organisations is None:
             return None
         found = config.by_key.get(terms.key) if terms.key is not None else None
         if found is None and not route.is_public:
-            raise Refused(self.unknown_key(config, terms))
+            raise RequestRefusedError(self.unknown_key_refusal(config, terms))
         return found
 
-    def unknown_key(self, config: ServingConfig, terms: RequestTerms) -> Refusal:
+    def unknown_key_refusal(self, config: ServingConfig, terms: RequestTerms) -> Refusal:
         """Return the refusal of a request without a key in force."""
         age_s = self.store_age_s()
-        if terms.key is not None and age_s > STALE_S:
+        if terms.key is not None and age_s > STALE_STORE_AGE_S:
             text = (
                 f"the key is not in version {config.version}, known {age_s:.1f} s ago"
             )
@@ -86,7 +86,7 @@
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If it is beyond the quota.
         """
         now = self.state.clock.monotonic()
@@ -97,9 +97,9 @@
         self.metrics.over_quota.inc(
             {"organisation": self.metrics.organisation_label(organisation.name)}
         )
-        raise Refused(self.over_quota(result))
+        raise RequestRefusedError(self.over_quota_refusal(result))
 
-    def over_quota(self, over: OverQuota) -> Refusal:
+    def over_quota_refusal(self, over: OverQuota) -> Refusal:
         """Return the refusal of a request beyond its organisation's quota."""
         text = (
             f"organisation {over.organisation} asks for {over.asked_per_s:.0f} of"
@@ -108,12 +108,12 @@
         )
         if over.retry_after is None:
             return not_run_refusal(Reason.OVER_QUOTA, f"{text}, more than ever fits")
-        return not_run_refusal(Reason.OVER_QUOTA, text, self.spread(over.retry_after))
+        return not_run_refusal(Reason.OVER_QUOTA, text, self.jittered_wait(over.retry_after))
 
-    def spread(self, wait: timedelta) -> timedelta:
+    def jittered_wait(self, wait: timedelta) -> timedelta:
         """Return when to come back, so that callers do not come together."""
-        return max(SOONEST, wait * (1 + SPREAD * self.state.random.random()))
+        return max(MIN_RETRY_AFTER, wait * (1 + RETRY_JITTER * self.state.random.random()))
 
-    def give_back(self, admitted: Admitted) -> None:
+    def refund(self, admitted: Admitted) -> None:
         """Take back what was counted for a request that did not run."""
         self.state.quotas.book.refund(admitted, self.state.clock.monotonic())
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -18,11 +18,11 @@
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
 from sardinequay_core.views import GuardAddress, View, home_of, view_of
 
-from .caller_requests import Envelope
+from .caller_requests import RequestEnvelope
 from .journal import Journal
 from .metrics import Metrics
 from .peers import PeerCaller
-from .progress import Progress, Refused
+from .progress import Progress, RequestRefusedError
 from .tracing import Tracing
 
 ROUND_PAUSE_S = 0.05
@@ -72,9 +72,9 @@
 
     @asynccontextmanager
     async def guarded(
-        self, envelope: Envelope, progress: Progress, parent: Span
+        self, envelope: RequestEnvelope, progress: Progress, parent: Span
     ) -> AsyncIterator[None]:
-        """Hold a request's key while it runs; raises `Refused` if it is not won."""
+        """Hold a request's key while it runs; raises `RequestRefusedError` if it is not won."""
         won = await self.claim_for(envelope, parent)
         ran = False
         try:
@@ -84,7 +84,7 @@
             if won is not None:
                 self.settle(won, Outcome.RAN if ran else progress.outcome)
 
-    async def claim_for(self, envelope: Envelope, parent: Span) -> WonClaim | None:
+    async def claim_for(self, envelope: RequestEnvelope, parent: Span) -> WonClaim | None:
         """Claim a request's key; one without a key may be repeated and holds none."""
         if not envelope.key:
             return None
@@ -93,7 +93,7 @@
                 envelope.key, envelope.caller.name, envelope.deadline
             )
         if not isinstance(won, Success):
-            raise Refused(won.failure())
+            raise RequestRefusedError(won.failure())
         self.journal.note(envelope.request_id, "claimed", key=envelope.key)
         claim: WonClaim = won.unwrap()
         return claim
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -29,24 +29,24 @@
     PermitBack,
     PermitReply,
 )
-from .content_news import news_of, take_news
-from .end_watch import BrokenRequest, EndWatch
+from .content_updates import content_update, apply_content_update
+from .target_end_detector import InterruptedRequest, TargetEndDetector
 from .guarded_run import GuardedRun
 from .peers import PeerCaller
-from .progress import Refused, may_have_run
+from .progress import RequestRefusedError, answer_lost_refusal
 
-PERMIT_CALL_S = 0.25
+PERMIT_CALL_TIMEOUT_S = 0.25
 """Bound on asking for a permit; hosts of a region answer in a few milliseconds."""
 
-PROBE_WAIT_S = 1.0
+MAX_PROBE_WAIT_S = 1.0
 """How long another attempt waits at most to know whether the last target ended, in
 seconds: longer than the question takes."""
 
-LOOK_AGAIN_S = 0.05
+PERMIT_POLL_S = 0.05
 """How often a request asks for a permit that another run has: about what a plain
 request runs for."""
 
-PERMIT_WAIT_S = 0.5
+MAX_PERMIT_WAIT_S = 0.5
 """How long a request waits for a permit, in seconds: what ends targets does so earlier,
 and who waits for a stream to end would be late."""
 
@@ -77,7 +77,7 @@
     hold_s: float
 
 
-class Fleet(Protocol):
+class GuardPeers(Protocol):
     """What the guard needs of the other hosts."""
 
     def known_to_all(self) -> list[HostId]:
@@ -86,7 +86,7 @@
     def address_of(self, host_id: HostId) -> Address | None:
         """Return where a host is reached."""
 
-    def tell_of(self, content: ContentId, is_own: bool) -> None:
+    def announce_content(self, content: ContentId, is_own: bool) -> None:
         """Have the others told of a content, seen by this host or by another."""
 
 
@@ -97,66 +97,66 @@
         self,
         me: HostId,
         quarantine: Quarantine,
-        ends: EndWatch,
-        fleet: Fleet,
+        end_detector: TargetEndDetector,
+        fleet: GuardPeers,
         peers: PeerCaller,
         clock: Clock,
     ) -> None:
         self.me = me
         self.quarantine = quarantine
-        self.ends = ends
+        self.end_detector = end_detector
         self.fleet = fleet
         self.peers = peers
         self.clock = clock
         self.permits = RunPermits()
-        self.numbers = itertools.count()
+        self.run_numbers = itertools.count()
         self.tasks: set[asyncio.Task[Any]] = set()
 
     # A request on its way.
 
-    def refuse_held(self, run: GuardedRun) -> None:
+    def refuse_if_held(self, run: GuardedRun) -> None:
         """Refuse a request whose content is held."""
         now = self.clock.monotonic()
-        left = self.quarantine.remaining_hold(run.content, now)
-        if not left:
+        remaining = self.quarantine.remaining_hold(run.content, now)
+        if not remaining:
             return
         if run.may_have_run:
-            raise Refused(may_have_run())
+            raise RequestRefusedError(answer_lost_refusal())
         ends = self.quarantine.ends_of(run.content)
         age_s = (now - ends[-1].at).total_seconds()
         text = f"{len(ends)} targets ended under such requests, one {age_s:.1f} s ago"
-        raise Refused(not_run_refusal(Reason.QUARANTINED, text, left))
+        raise RequestRefusedError(not_run_refusal(Reason.QUARANTINED, text, remaining))
 
     async def may_run(self, run: GuardedRun) -> bool:
         """Return whether a request may run now; after False, look at all anew.
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If others like it kept the permit for too long.
         """
         content = run.content
         if not self.quarantine.is_suspect(content) or run.permit:
             return True
-        permit = f"{self.me}/{next(self.numbers)}"
+        permit = f"{self.me}/{next(self.run_numbers)}"
         if await self.is_permitted(permit, content):
             run.permit = permit
             # What the giver knows may be news here.
             return not self.quarantine.remaining_hold(content, self.clock.monotonic())
         run.permit_waits += 1
-        if run.permit_waits * LOOK_AGAIN_S > PERMIT_WAIT_S:
-            raise Refused(self.not_permitted(run))
-        await asyncio.sleep(LOOK_AGAIN_S)
+        if run.permit_waits * PERMIT_POLL_S > MAX_PERMIT_WAIT_S:
+            raise RequestRefusedError(self.not_permitted_refusal(run))
+        await asyncio.sleep(PERMIT_POLL_S)
         return False
 
-    def not_permitted(self, run: GuardedRun) -> Refusal:
+    def not_permitted_refusal(self, run: GuardedRun) -> Refusal:
         """Return the refusal of a request that waited for another like it."""
         if run.may_have_run:
-            return may_have_run()
+            return answer_lost_refusal()
         text = "a target ended under a request like it, and another like it runs now"
         return not_run_refusal(Reason.QUARANTINED, text, PERMIT_RETRY)
 
-    async def settled(self, run: GuardedRun, within_s: float) -> bool:
+    async def wait_for_verdict(self, run: GuardedRun, within_s: float) -> bool:
         """Wait until it is known whether the last target ended under a request.
 
         Returns
@@ -170,149 +170,149 @@
         known, _ = await asyncio.wait((verdict,), timeout=max(0.0, within_s))
         return bool(known) and not verdict.result()
 
-    def broke(
+    def handle_broken_connection(
         self, run: GuardedRun, target: Target, incarnation: int, ran_s: float
     ) -> None:
         """Take that a request's connection broke; nobody's answer waits for more."""
         now = self.clock.monotonic()
-        broken = BrokenRequest(
+        interrupted = InterruptedRequest(
             run.request_id, run.content, target, incarnation, ran_s, now
         )
-        run.verdict = self.start(self.learn(broken))
+        run.verdict = self.start_task(self.check_target_end(interrupted))
 
-    async def learn(self, broken: BrokenRequest) -> bool:
+    async def check_target_end(self, interrupted: InterruptedRequest) -> bool:
         """Find out whether the target ended, and count that against the content."""
-        has_ended = await self.ends.ended_under(broken)
+        has_ended = await self.end_detector.has_ended_during(interrupted)
         if has_ended:
-            self.count(broken)
+            self.record_target_end(interrupted)
         return has_ended
 
-    def take_catalogue(self, catalogue: Catalogue) -> None:
+    def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Count ends of targets that show by their later starts."""
-        for broken in self.ends.shown_by(catalogue, self.clock.monotonic()):
-            self.count(broken)
+        for interrupted in self.end_detector.find_restarted(catalogue, self.clock.monotonic()):
+            self.record_target_end(interrupted)
 
-    def count(self, broken: BrokenRequest) -> None:
+    def record_target_end(self, interrupted: InterruptedRequest) -> None:
         """Count a target's end against the content of a request that was there."""
         now = self.clock.monotonic()
-        end = TargetEnd(broken.target.target_id, broken.incarnation, now)
-        if self.quarantine.record_target_end(broken.content, end, now):
-            self.changed(broken.content, is_own=True)
+        end = TargetEnd(interrupted.target.target_id, interrupted.incarnation, now)
+        if self.quarantine.record_target_end(interrupted.content, end, now):
+            self.publish_change(interrupted.content, is_own=True)
 
-    def answered(self, content: ContentId) -> None:
+    def record_answer(self, content: ContentId) -> None:
         """Take that a request was answered: it ends no target."""
         now = self.clock.monotonic()
         if self.quarantine.clear_content(content, now, now):
             log.info("content cleared", extra={"content": content})
-            self.fleet.tell_of(content, is_own=True)
+            self.fleet.announce_content(content, is_own=True)
 
-    def lift(self, content: ContentId) -> bool:
+    def lift_quarantine(self, content: ContentId) -> bool:
         """Let a content go at an operator's word; return whether it was suspect."""
         now = self.clock.monotonic()
         is_known = self.quarantine.clear_content(content, now, now)
         log.warning("quarantine lifted", extra={"content": content, "known": is_known})
         if is_known:
-            self.fleet.tell_of(content, is_own=True)
+            self.fleet.announce_content(content, is_own=True)
         return is_known
 
-    def leave(self, run: GuardedRun) -> None:
+    def release_permit(self, run: GuardedRun) -> None:
         """Give a request's permit back once it is known what the run did."""
         if run.permit:
-            self.start(self.give_back(run))
+            self.start_task(self.return_permit(run))
 
     # Permits.
 
-    def giver(self, content: ContentId) -> HostId:
+    def permit_issuer(self, content: ContentId) -> HostId:
         """Return the host that gives a content's permits: the same for all hosts."""
         return HostId(rank(content, self.fleet.known_to_all())[0])
 
     async def is_permitted(self, permit: str, content: ContentId) -> bool:
         """Ask for the permit to run."""
         now = self.clock.monotonic()
-        giver = self.giver(content)
-        address = self.fleet.address_of(giver)
-        if giver == self.me or address is None:
+        issuer = self.permit_issuer(content)
+        address = self.fleet.address_of(issuer)
+        if issuer == self.me or address is None:
             return self.permits.grant(content, permit, now)
-        ask = AskPermit(permit, news_of(self.quarantine, content, now))
-        answer = await self.peers.call(address, ask, PERMIT_CALL_S)
+        request = AskPermit(permit, content_update(self.quarantine, content, now))
+        answer = await self.peers.call(address, request, PERMIT_CALL_TIMEOUT_S)
         reply = answer.value_or(None)
         if not isinstance(reply, PermitReply):
-            log.warning("no permit giver", extra={"content": content, "peer": giver})
+            log.warning("no permit giver", extra={"content": content, "peer": issuer})
             return self.permits.grant(content, permit, now)
-        self.hear(reply.news)
+        self.apply_update(reply.news)
         return reply.is_granted
 
-    async def answer_ask(self, ask: AskPermit) -> PermitReply:
+    async def handle_ask_permit(self, request: AskPermit) -> PermitReply:
         """Give a permit, unless another run has it or the content is held."""
-        self.hear(ask.news)
-        content = ask.news.content
+        self.apply_update(request.news)
+        content = request.news.content
         now = self.clock.monotonic()
         is_granted = not self.quarantine.remaining_hold(content, now) and self.permits.grant(
-            content, ask.run, now
+            content, request.run, now
         )
-        return PermitReply(is_granted, news_of(self.quarantine, content, now))
+        return PermitReply(is_granted, content_update(self.quarantine, content, now))
 
-    async def give_back(self, run: GuardedRun) -> None:
+    async def return_permit(self, run: GuardedRun) -> None:
         """Give a permit back, with what the run showed."""
         if run.verdict is not None:
             await asyncio.wait((run.verdict,))
         content, permit = run.content, run.permit
         self.permits.release(content, permit)
-        giver = self.giver(content)
-        address = self.fleet.address_of(giver)
-        if giver != self.me and address is not None:
+        issuer = self.permit_issuer(content)
+        address = self.fleet.address_of(issuer)
+        if issuer != self.me and address is not None:
             now = self.clock.monotonic()
-            back = PermitBack(permit, news_of(self.quarantine, content, now))
-            await self.peers.call(address, back, PERMIT_CALL_S)
+            message = PermitBack(permit, content_update(self.quarantine, content, now))
+            await self.peers.call(address, message, PERMIT_CALL_TIMEOUT_S)
 
-    async def answer_back(self, back: PermitBack) -> ContentsReply:
+    async def handle_permit_back(self, message: PermitBack) -> ContentsReply:
         """Take a permit back."""
-        self.hear(back.news)
-        self.permits.release(back.news.content, back.run)
+        self.apply_update(message.news)
+        self.permits.release(message.news.content, message.run)
         return ContentsReply(())
 
     # News.
 
-    def take(self, contents: Iterable[ContentNews]) -> None:
+    def apply_updates(self, contents: Iterable[ContentNews]) -> None:
         """Take what a peer knows against contents."""
         for news in contents:
-            self.hear(news)
+            self.apply_update(news)
 
-    def hear(self, news: ContentNews) -> None:
+    def apply_update(self, news: ContentNews) -> None:
         """Take what a peer knows against a content."""
-        if take_news(self.quarantine, news, self.clock.monotonic()):
-            self.changed(news.content, is_own=False)
+        if apply_content_update(self.quarantine, news, self.clock.monotonic()):
+            self.publish_change(news.content, is_own=False)
 
-    def changed(self, content: ContentId, is_own: bool) -> None:
+    def publish_change(self, content: ContentId, is_own: bool) -> None:
         """Log a content that is held from now on, and have peers told."""
         now = self.clock.monotonic()
-        left = self.quarantine.remaining_hold(content, now)
-        if left:
-            held = self.held_content(content, now)
+        remaining = self.quarantine.remaining_hold(content, now)
+        if remaining:
+            held = self.describe_held_content(content, now)
             log.warning("content quarantined", extra=asdict(held))
-        self.fleet.tell_of(content, is_own)
+        self.fleet.announce_content(content, is_own)
 
     # For operators.
 
-    def held(self) -> list[HeldContent]:
+    def held_contents(self) -> list[HeldContent]:
         """Return the contents that are held."""
         now = self.clock.monotonic()
-        return [self.held_content(c, now) for c in self.quarantine.held_contents(now)]
+        return [self.describe_held_content(c, now) for c in self.quarantine.held_contents(now)]
 
-    def held_content(self, content: ContentId, now: Instant) -> HeldContent:
+    def describe_held_content(self, content: ContentId, now: Instant) -> HeldContent:
         """Return one content that is held."""
         ends = self.quarantine.ends_of(content)
-        left = self.quarantine.remaining_hold(content, now)
+        remaining = self.quarantine.remaining_hold(content, now)
         return HeldContent(
             content,
             [e.target for e in ends],
             round((now - ends[-1].at).total_seconds(), 3),
-            round(left.total_seconds(), 3),
+            round(remaining.total_seconds(), 3),
         )
 
     # Upkeep.
 
-    def start(self, work: Coroutine[None, None, Result]) -> asyncio.Task[Result]:
+    def start_task(self, work: Coroutine[None, None, Result]) -> asyncio.Task[Result]:
         """Start work that nobody waits for."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -11,7 +11,7 @@
 from sardinequay_core.usage_view import UsageCounts
 
 from .content_messages import ContentNews
-from .content_news import news_of
+from .content_updates import content_update
 from .fleet_task import FleetTask, HeardDigest
 from .order_task import OrderTask
 from .peer_table import Peer
@@ -122,7 +122,7 @@
         now = self.clock.monotonic()
         host_id = peer.contact.host_id
         here = {p.contact.host_id for p in self.fleet.reporting()}
-        uses = self.state.uses_of(here, peer.contact.data_centre)
+        uses = self.state.summed_uses(here, peer.contact.data_centre)
         return replace(
             digest,
             shares=self.state.loads.combined_shares(here, now),
@@ -199,7 +199,7 @@
             return ()
         self.contents_told[host_id] = quarantine.suspicions[changed[-1]].change_number
         now = self.clock.monotonic()
-        return tuple(news_of(quarantine, content, now) for content in changed)
+        return tuple(content_update(quarantine, content, now) for content in changed)
 
     def untold_usage(self, host_id: HostId, scope: DigestScope) -> UsageCounts:
         """Return what organisations used where that changed lately; all at first."""
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -20,17 +20,17 @@
 from sardinequay_core.names import Address, PoolName
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 
-from .caller_requests import ModelRequest, guarded_run
+from .caller_requests import ModelRequest, make_guarded_run
 from .claimer import Claimer
-from .content_guard import PROBE_WAIT_S, ContentGuard
+from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .engines import EngineRequest, HttpEngines, events_of
 from .errors import TargetError, TargetFault
 from .guarded_run import GuardedRun
 from .journal import Journal
 from .lease_task import LeaseTask
 from .metrics import Metrics
-from .progress import Progress, Refused, too_late
-from .server_sent_events import Events
+from .progress import Progress, RequestRefusedError, deadline_refusal
+from .server_sent_events import EventBatch
 from .tracing import Tracing
 
 MAX_RESUMES = 3
@@ -49,7 +49,7 @@
         self.policy = policy
         self.budgets: dict[PoolName, RetryBudget] = {}
 
-    def of(self, pool: PoolName) -> RetryBudget:
+    def for_pool(self, pool: PoolName) -> RetryBudget:
         """Return a pool's budget."""
         return self.budgets.setdefault(pool, RetryBudget(self.policy))
 
@@ -64,7 +64,7 @@
     request: ModelRequest
     trace_headers: dict[str, str]
 
-    async def start(self) -> AsyncGenerator[Events, None]:
+    async def start(self) -> AsyncGenerator[EventBatch, None]:
         """Send the request and yield its events."""
         headers = {
             **self.trace_headers,
@@ -84,19 +84,19 @@
         async with self.engines.start(self.address, message) as answer:
             ran = answer.headers.get(ADAPTER_HEADER)
             if ran != str(self.request.adapter):
-                raise Refused(wrong_adapter(ran))
-            async with aclosing(events_of(answer)) as parts:
-                async for part in parts:
-                    yield part
+                raise RequestRefusedError(wrong_adapter_refusal(ran))
+            async with aclosing(events_of(answer)) as event_batches:
+                async for event_batch in event_batches:
+                    yield event_batch
 
-    async def resume(self, after: int) -> AsyncGenerator[Events, None]:
+    async def resume(self, after: int) -> AsyncGenerator[EventBatch, None]:
         """Open the stream again and yield the events after one."""
         async with (
             self.engines.resume(self.address, self.request_id, after) as answer,
-            aclosing(events_of(answer)) as parts,
+            aclosing(events_of(answer)) as event_batches,
         ):
-            async for part in parts:
-                yield part
+            async for event_batch in event_batches:
+                yield event_batch
 
 
 class ModelDispatcher:
@@ -122,58 +122,58 @@
         self.metrics = metrics
         self.journal = journal
 
-    async def events(
+    async def stream_events(
         self, request: ModelRequest, progress: Progress, span: Span
-    ) -> AsyncGenerator[Events, None]:
-        """Yield the answer's events; raises `Refused` when it cannot be completed."""
-        run = guarded_run(request.envelope, "POST", request.path, request.body)
+    ) -> AsyncGenerator[EventBatch, None]:
+        """Yield the answer's events; raises `RequestRefusedError` when it cannot be completed."""
+        run = make_guarded_run(request.envelope, "POST", request.path, request.body)
         async with self.claimer.guarded(request.envelope, progress, span):
             try:
-                attempts = self.attempts(request, progress, span, run)
+                attempts = self.events_with_retries(request, progress, span, run)
                 async with aclosing(attempts) as events:
-                    async for part in events:
-                        yield part
-                self.guard.answered(run.content)
+                    async for event_batch in events:
+                        yield event_batch
+                self.guard.record_answer(run.content)
             finally:
-                self.guard.leave(run)
+                self.guard.release_permit(run)
 
-    async def attempts(
+    async def events_with_retries(
         self, request: ModelRequest, progress: Progress, span: Span, run: GuardedRun
-    ) -> AsyncGenerator[Events, None]:
+    ) -> AsyncGenerator[EventBatch, None]:
         """Yield events from one engine after another until the answer is whole."""
-        budget = self.budgets.of(request.pool.name)
+        budget = self.budgets.for_pool(request.pool.name)
         budget.record_first_attempt()
         while True:
             # An engine's end also counts against the request, which would else end one
             # engine after the other.
-            await self.guard.settled(run, PROBE_WAIT_S)
-            self.guard.refuse_held(run)
-            use = await self.obtain(request, span)
+            await self.guard.wait_for_verdict(run, MAX_PROBE_WAIT_S)
+            self.guard.refuse_if_held(run)
+            use = await self.obtain_lease(request, span)
             if not await self.guard.may_run(run):
                 continue
             # A process that was frozen must not act on a claim that may have expired.
             if self.leases.clock.monotonic() >= request.envelope.deadline:
-                raise Refused(too_late(progress))
+                raise RequestRefusedError(deadline_refusal(progress))
             if not self.leases.begin(use):
                 continue
             progress.begin_attempt()
             began = self.leases.clock.monotonic()
             try:
-                async with aclosing(self.run_on(use, request, progress, span)) as parts:
-                    async for part in parts:
-                        yield part
+                async with aclosing(self.run_on_engine(use, request, progress, span)) as event_batches:
+                    async for event_batch in event_batches:
+                        yield event_batch
                 return
             except TargetError as error:
                 target = self.leases.targets.get(use.target)
                 if not error.proves_not_run and target is not None:
                     ran_s = (self.leases.clock.monotonic() - began).total_seconds()
-                    self.guard.broke(run, target, 0, ran_s)
+                    self.guard.handle_broken_connection(run, target, 0, ran_s)
                 run.may_have_run = run.may_have_run or not error.proves_not_run
                 self.after_failure(request, use, progress, error, budget)
             finally:
                 self.leases.end(use)
 
-    async def obtain(self, request: ModelRequest, parent: Span) -> Use:
+    async def obtain_lease(self, request: ModelRequest, parent: Span) -> Use:
         """Obtain a lease on an engine that holds the adapter."""
         envelope = request.envelope
         leased = self.leases.best(request.adapter)
@@ -184,13 +184,13 @@
                 request.pool.name, request.adapter, envelope.deadline
             )
         if not isinstance(found, Success):
-            raise Refused(found.failure())
+            raise RequestRefusedError(found.failure())
         obtained: Use = found.unwrap()
         return obtained
 
-    async def run_on(
+    async def run_on_engine(
         self, use: Use, request: ModelRequest, progress: Progress, parent: Span
-    ) -> AsyncGenerator[Events, None]:
+    ) -> AsyncGenerator[EventBatch, None]:
         """Yield events from one engine; have it stop if they are not all wanted."""
         address = self.leases.targets[use.target].address
         request_id = run_id(request, progress)
@@ -207,9 +207,9 @@
                 self.engines, address, request_id, request, self.tracing.headers(span)
             )
             try:
-                async with aclosing(self.unbroken(run, progress)) as parts:
-                    async for part in parts:
-                        yield part
+                async with aclosing(self.events_with_resume(run, progress)) as event_batches:
+                    async for event_batch in event_batches:
+                        yield event_batch
                 finished = True
             except TargetError as error:
                 finished = error.proves_not_run
@@ -218,20 +218,20 @@
                 if not finished:
                     await asyncio.shield(self.engines.cancel(address, request_id))
 
-    async def unbroken(
+    async def events_with_resume(
         self, run: EngineRun, progress: Progress
-    ) -> AsyncGenerator[Events, None]:
+    ) -> AsyncGenerator[EventBatch, None]:
         """Yield the events of one run, opening its stream again when it breaks."""
         resumes = 0
         source = run.start()
         while True:
             try:
-                async with aclosing(source) as parts:
-                    async for part in parts:
-                        check_order(part, progress.last_event)
-                        progress.last_event = part.last_id or progress.last_event
-                        yield part
-                        if part.done:
+                async with aclosing(source) as event_batches:
+                    async for event_batch in event_batches:
+                        check_event_order(event_batch, progress.last_event)
+                        progress.last_event = event_batch.last_id or progress.last_event
+                        yield event_batch
+                        if event_batch.done:
                             return
                 raise TargetError(TargetFault.BROKEN, "the stream ended early")
             except TargetError as error:
@@ -268,7 +268,7 @@
         if may_retry and budget.try_spend(progress.attempts):
             self.metrics.retries.inc({"pool": request.pool.name})
             return
-        raise Refused(refusal_of(error, progress))
+        raise RequestRefusedError(final_engine_refusal(error, progress))
 
 
 def run_id(request: ModelRequest, progress: Progress) -> str:
@@ -280,20 +280,20 @@
     return f"{request.envelope.request_id}.{progress.attempts}-{nonce}"
 
 
-def check_order(part: Events, last: int) -> None:
+def check_event_order(event_batch: EventBatch, last: int) -> None:
     """Refuse events that leave a gap or repeat what was passed on."""
-    if part.first_id and part.first_id != last + 1:
-        detail = f"event {part.first_id} after {last}"
+    if event_batch.first_id and event_batch.first_id != last + 1:
+        detail = f"event {event_batch.first_id} after {last}"
         raise TargetError(TargetFault.BROKEN, detail)
 
 
-def wrong_adapter(ran: str | None) -> Refusal:
+def wrong_adapter_refusal(ran: str | None) -> Refusal:
     """Return the refusal of an answer by another adapter than the one named."""
     text = f"the engine ran {ran!r} instead of the adapter that was named"
     return Refusal(Reason.WRONG_ADAPTER, Outcome.RAN, text)
 
 
-def refusal_of(error: TargetError, progress: Progress) -> Refusal:
+def final_engine_refusal(error: TargetError, progress: Progress) -> Refusal:
     """Return the final answer after a failed attempt that is not repeated."""
     if progress.last_event:
         return Refusal(Reason.ANSWER_LOST, Outcome.RAN, f"answer lost: {error}")
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -30,14 +30,14 @@
 
 
 @dataclass(slots=True)
-class Exchange:
+class RelayExchange:
     """One request on its way.
 
     Parameters
     ----------
     deadline : timedelta
         The earlier of the caller's and the route's, on this host's monotonic clock.
-    guarded : GuardedRun
+    guarded_run : GuardedRun
         The request as far as it concerns whether its content may run.
     organisation : Organisation or None
         Who asks, where that is known.
@@ -59,21 +59,21 @@
     arrived: Instant
     deadline: Instant
     span: Span
-    guarded: GuardedRun
+    guarded_run: GuardedRun
     organisation: Organisation | None = None
-    so_far: AttemptCounts = field(default_factory=AttemptCounts)
+    attempts_so_far: AttemptCounts = field(default_factory=AttemptCounts)
     tried: frozenset[TargetId] = frozenset()
     rejections: Counter[TargetId] = field(default_factory=Counter)
     repeat: RepeatBudget | None = None
     last_event: str = ""
-    has_begun: bool = False
+    answer_started: bool = False
 
     @property
     def priority(self) -> int:
         """Return the request's rank, 0 first: its organisation's before its route's."""
-        asks = self.organisation
-        if asks is not None and asks.priority is not None:
-            return asks.priority
+        organisation = self.organisation
+        if organisation is not None and organisation.priority is not None:
+            return organisation.priority
         return self.route.priority
 
     def begin_repeat(self, budget: RepeatBudget) -> None:
@@ -87,7 +87,7 @@
             self.repeat.record_arrival(now)
             self.repeat = None
 
-    def left(self, now: Instant) -> timedelta:
+    def time_left(self, now: Instant) -> timedelta:
         """Return the time that is left for an answer of this host's own."""
         return self.deadline - now - ANSWER_MARGIN
 
@@ -97,16 +97,16 @@
 
     def first_event_left_s(self, now: Instant) -> float:
         """Return how long waiting for a first event helps, in seconds."""
-        left_s = self.left(now).total_seconds()
-        if not self.route.repetition.is_stream or self.has_begun:
+        left_s = self.time_left(now).total_seconds()
+        if not self.route.repetition.is_stream or self.answer_started:
             return left_s
         pause = self.route.max_pause
-        patience_s = max(
+        max_wait_s = max(
             FIRST_EVENT_FLOOR_S,
             FIRST_EVENT_GOALS * self.route.goal.total_seconds(),
             FIRST_EVENT_PAUSES * pause.total_seconds() if pause else 0.0,
         )
-        return min(left_s, patience_s - self.waited_s(now))
+        return min(left_s, max_wait_s - self.waited_s(now))
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,17 +117,17 @@
     answer: aiohttp.ClientResponse
 
 
-Begin = Callable[[AnswerHead], Awaitable[None]]
-Write = Callable[[bytes], Awaitable[None]]
+BeginAnswer = Callable[[AnswerHead], Awaitable[None]]
+WriteAnswer = Callable[[bytes], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
-class Sink:
+class AnswerSink:
     """Where an answer goes: its head first, then its bytes as they come."""
 
-    begin: Begin
-    write: Write
+    begin_answer: BeginAnswer
+    write_body: WriteAnswer
 
 
-class BrokenOffError(DaemonError):
+class AnswerCutOffError(DaemonError):
     """An answer that had begun and cannot be completed."""
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -21,14 +21,14 @@
 from sardinequay_core.rollout import Offered
 from sardinequay_core.roster import Roster
 
-from .callers import CallerServer
+from .caller_server import CallerServer
 from .claimer import Claimer
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, ContentsTold, PermitBack
-from .content_spread import ContentSpread
+from .quarantine_replicator import QuarantineReplicator
 from .dispatch import ModelDispatcher, RetryBudgets
-from .end_watch import EndWatch
+from .target_end_detector import TargetEndDetector
 from .engines import EngineLooks, HttpEngines
 from .errors import StartError
 from .guard_task import GuardTask, claim_policy
@@ -178,7 +178,7 @@
             self.metrics,
             self.journal,
             self.refresh_metrics,
-            self.content_guard.lift,
+            self.content_guard.lift_quarantine,
         )
         self.connect()
         self.register()
@@ -219,19 +219,19 @@
     def make_content_guard(self, engines: HttpEngines) -> ContentGuard:
         """Make what stops requests under which targets end."""
         quarantine = Quarantine(QuarantinePolicy(same_end_span=SAME_END))
-        self.spread = ContentSpread(
+        self.spread = QuarantineReplicator(
             self.membership, self.peers, quarantine, self.clock, self.random
         )
         guard = ContentGuard(
             self.settings.host_id,
             quarantine,
-            EndWatch(
+            TargetEndDetector(
                 TargetProbe(
                     ConnectionProbe(self.listener.ip).accepts,
                     EngineLooks(engines),
                     lambda _: False,
                     lambda _: "",
-                ).lives,
+                ).is_alive,
                 lambda target: self.roster.roster.is_live(target),
                 lambda pool: self.metrics.target_ends.inc({"pool": pool}),
             ),
@@ -239,7 +239,7 @@
             self.peers,
             self.clock,
         )
-        self.spread.heard.subscribe(guard.take)
+        self.spread.received.subscribe(guard.apply_updates)
         return guard
 
     def make_callers(
@@ -295,7 +295,7 @@
         rosters.subscribe(self.membership.take_roster)
         rosters.subscribe(self.claimer.take_roster)
         rosters.subscribe(self.leases.take_roster)
-        rosters.subscribe(self.forwarder.take_roster)
+        rosters.subscribe(self.forwarder.apply_roster)
         rosters.subscribe(self.hear_roster)
         self.roster.direct_reads.subscribe(self.guard.take_list)
         self.membership.live.subscribe(self.leases.take_members)
@@ -321,9 +321,9 @@
         server.register(FetchBlobs, self.rollout.answer_blobs)
         server.register(FetchRoster, self.roster.answer_fetch)
         server.register(Recall, self.leases.answer_recall)
-        server.register(ContentsTold, self.spread.answer)
-        server.register(AskPermit, self.content_guard.answer_ask)
-        server.register(PermitBack, self.content_guard.answer_back)
+        server.register(ContentsTold, self.spread.handle_contents_told)
+        server.register(AskPermit, self.content_guard.handle_ask_permit)
+        server.register(PermitBack, self.content_guard.handle_permit_back)
         for guarded in GUARD_MESSAGES:
             server.register(guarded, self.guard.inbox.ask)
         for kept in KEEPER_MESSAGES:
@@ -372,7 +372,7 @@
             members=self.membership.health_of(),
             guard_views=self.guard.views(),
             resident=self.keeper.summary(),
-            quarantined=self.content_guard.held(),
+            quarantined=self.content_guard.held_contents(),
         )
 
     async def expire_contents(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/wants.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -21,14 +21,14 @@
 
 
 @dataclass(slots=True)
-class WantBoard:
+class LoadRequestClient:
     """Asks for adapters."""
 
     state: RelayState
     peers: PeerCaller
-    tellings: set[asyncio.Task[None]] = field(default_factory=set)
+    report_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    async def ask(self, message: WantAdapter) -> WantReply:
+    async def request_load(self, message: WantAdapter) -> WantReply:
         """Ask whoever orders the engine now."""
         published = self.state.catalogue.targets.get(message.target)
         if published is None:
@@ -42,35 +42,35 @@
         address = self.state.fleet.address_of(keeper.host_id)
         if address is None:
             return WantReply(False, "nobody orders the engine")
-        patience_s = min(message.wait_s, message.look_s) + REPLY_SLACK_S
-        answer = await self.peers.call(address, message, patience_s)
+        timeout_s = min(message.wait_s, message.look_s) + REPLY_SLACK_S
+        answer = await self.peers.call(address, message, timeout_s)
         reply = answer.value_or(None)
         if isinstance(reply, WantReply):
             return reply
         self.state.fleet.suspect(keeper.host_id)
         return WantReply(False, f"no answer: {answer}")
 
-    def tell_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
+    def report_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
         """Tell that an adapter fell idle or came into use, if it did."""
         orders = self.state.orders
         if orders is None or count > 1:
             return
         use = AdapterUse(target, adapter, count)
-        self.tell_soon(target, UseChanged(orders.me, use))
+        self.report_in_background(target, UseChanged(orders.me, use))
 
-    def tell_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
+    def report_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
         """Tell that an engine denies to have an adapter."""
         target = published.target.target_id
         missing = AdapterMissing(target, adapter, published.incarnation)
-        self.tell_soon(target, missing)
+        self.report_in_background(target, missing)
 
-    def tell_soon(self, target: TargetId, message: AdapterMissing | UseChanged) -> None:
+    def report_in_background(self, target: TargetId, message: AdapterMissing | UseChanged) -> None:
         """Tell whoever orders an engine, without waiting for the answer."""
-        task = asyncio.create_task(self.tell(target, message))
-        self.tellings.add(task)
-        task.add_done_callback(self.tellings.discard)
+        task = asyncio.create_task(self.send_report(target, message))
+        self.report_tasks.add(task)
+        task.add_done_callback(self.report_tasks.discard)
 
-    async def tell(
+    async def send_report(
         self, target: TargetId, message: AdapterMissing | UseChanged
     ) -> None:
         """Tell whoever orders an engine."""
--- a/packages/daemon/src/sardinequay_daemon/progress.py
+++ b/packages/daemon/src/sardinequay_daemon/progress.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(unsafe_hash=True)
-class Refused(DaemonError):
+class RequestRefusedError(DaemonError):
     """A request's final failure."""
 
     refusal: Refusal
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    under_way : bool
+    attempt_in_flight : bool
         Whether an attempt is at a target now.
     is_uncertain : bool
         Whether some attempt ended without a proof that it had not run. No later attempt
@@ -31,24 +31,24 @@
 
     attempts: int = 0
     not_loaded: int = 0
-    under_way: bool = False
+    attempt_in_flight: bool = False
     is_uncertain: bool = False
     last_event: int = 0
 
     def begin_attempt(self) -> None:
         """Note that bytes may leave for a target from now on."""
         self.attempts += 1
-        self.under_way = True
+        self.attempt_in_flight = True
 
     def end_attempt(self, proves_not_run: bool) -> None:
         """Note that an attempt failed, and what that proves."""
-        self.under_way = False
+        self.attempt_in_flight = False
         self.is_uncertain = self.is_uncertain or not proves_not_run
 
     @property
     def may_have_run(self) -> bool:
         """Return whether any attempt may have run."""
-        return self.under_way or self.is_uncertain
+        return self.attempt_in_flight or self.is_uncertain
 
     @property
     def outcome(self) -> Outcome:
@@ -58,20 +58,20 @@
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
 
-def truthful(refusal: Refusal, progress: Progress) -> Refusal:
+def with_proven_outcome(refusal: Refusal, progress: Progress) -> Refusal:
     """Return a refusal that does not say "not run" after an attempt that may have."""
     if refusal.outcome is Outcome.NOT_RUN and progress.outcome is not Outcome.NOT_RUN:
         return replace(refusal, outcome=progress.outcome)
     return refusal
 
 
-def too_late(progress: Progress) -> Refusal:
+def deadline_refusal(progress: Progress) -> Refusal:
     """Return the refusal of a request whose deadline has passed."""
     text = "the deadline passed"
     return Refusal(Reason.DEADLINE_EXPIRED, progress.outcome, text)
 
 
-def may_have_run() -> Refusal:
+def answer_lost_refusal() -> Refusal:
     """Return the end of a request that was sent and of which no answer came."""
     text = "the target's answer was lost; it may have run the request"
     return Refusal(Reason.TARGET_FAILED, Outcome.UNKNOWN, text)
--- a/packages/daemon/src/sardinequay_daemon/content_spread.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -15,19 +15,19 @@
 from sardinequay_core.quarantine import Quarantine
 
 from .content_messages import ContentNews, ContentsReply, ContentsTold
-from .content_news import news_of
+from .content_updates import content_update
 from .mailbox import every
 from .membership_task import MembershipTask
 from .peers import PeerCaller
 
-GATHER_S = 0.02
+BATCH_DELAY_S = 0.02
 """All requests that were on a target that ended are told of in one message."""
 
-ASK_PERIOD_S = 1.0
+PULL_PERIOD_S = 1.0
 """How often a host asks another for all that it knows: mostly nothing."""
 
 
-class ContentSpread:
+class QuarantineReplicator:
     """Tells and asks; implements what the guard needs of the other hosts."""
 
     def __init__(
@@ -43,10 +43,10 @@
         self.quarantine = quarantine
         self.clock = clock
         self.random = random
-        self.heard: Subject[tuple[ContentNews, ...]] = Subject()
-        self.untold: set[ContentId] = set()
-        self.has_untold = asyncio.Event()
-        self.telling: set[asyncio.Task[None]] = set()
+        self.received: Subject[tuple[ContentNews, ...]] = Subject()
+        self.unsent: set[ContentId] = set()
+        self.has_unsent = asyncio.Event()
+        self.send_tasks: set[asyncio.Task[None]] = set()
 
     # For the guard.
 
@@ -59,62 +59,62 @@
         live = {m.host_id: m.address for m in self.membership.live.value}
         return live.get(host_id)
 
-    def tell_of(self, content: ContentId, is_own: bool) -> None:
+    def announce_content(self, content: ContentId, is_own: bool) -> None:
         """Have all hosts told of what this one saw."""
         if is_own:
-            self.untold.add(content)
-            self.has_untold.set()
+            self.unsent.add(content)
+            self.has_unsent.set()
 
     # Tasks.
 
     async def run(self) -> None:
         """Tell and ask, for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.tell_on())
-            group.create_task(every(ASK_PERIOD_S, self.ask_one))
+            group.create_task(self.send_updates())
+            group.create_task(every(PULL_PERIOD_S, self.pull_from_peer))
 
-    async def tell_on(self) -> None:
+    async def send_updates(self) -> None:
         """Tell all hosts whenever there is something to tell."""
         while True:
-            await self.has_untold.wait()
-            await asyncio.sleep(GATHER_S)
-            self.has_untold.clear()
-            told = ContentsTold(self.news(self.untold))
-            self.untold = set()
-            for address in self.others():
-                task = asyncio.create_task(self.tell(address, told))
-                self.telling.add(task)
-                task.add_done_callback(self.telling.discard)
-
-    def others(self) -> list[Address]:
+            await self.has_unsent.wait()
+            await asyncio.sleep(BATCH_DELAY_S)
+            self.has_unsent.clear()
+            message = ContentsTold(self.content_updates(self.unsent))
+            self.unsent = set()
+            for address in self.other_addresses():
+                task = asyncio.create_task(self.send_to(address, message))
+                self.send_tasks.add(task)
+                task.add_done_callback(self.send_tasks.discard)
+
+    def other_addresses(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
         me = self.membership.membership.me.address
-        here = {m.address for m in self.membership.live.value}
-        elsewhere = {h.peer_address for h in self.membership.remote_hosts()}
-        return sorted((here | elsewhere) - {me})
+        local_addresses = {m.address for m in self.membership.live.value}
+        remote_addresses = {h.peer_address for h in self.membership.remote_hosts()}
+        return sorted((local_addresses | remote_addresses) - {me})
 
-    async def tell(self, address: Address, told: ContentsTold) -> None:
+    async def send_to(self, address: Address, message: ContentsTold) -> None:
         """Tell one host; one that misses it asks."""
-        await self.peers.call(address, told)
+        await self.peers.call(address, message)
 
-    async def ask_one(self) -> None:
+    async def pull_from_peer(self) -> None:
         """Ask any host for all that it knows."""
-        others = self.others()
+        others = self.other_addresses()
         if not others:
             return
-        ask = ContentsTold((), wants_all=True)
-        answer = await self.peers.call(self.random.choice(others), ask)
+        request = ContentsTold((), wants_all=True)
+        answer = await self.peers.call(self.random.choice(others), request)
         reply = answer.value_or(None)
         if isinstance(reply, ContentsReply):
-            self.heard.on_next(reply.contents)
+            self.received.on_next(reply.contents)
 
-    async def answer(self, told: ContentsTold) -> ContentsReply:
+    async def handle_contents_told(self, message: ContentsTold) -> ContentsReply:
         """Take what a host tells, and answer what it asks."""
-        self.heard.on_next(told.contents)
-        known = self.quarantine.suspicions if told.wants_all else ()
-        return ContentsReply(self.news(known))
+        self.received.on_next(message.contents)
+        known = self.quarantine.suspicions if message.wants_all else ()
+        return ContentsReply(self.content_updates(known))
 
-    def news(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
+    def content_updates(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
         """Return what is known against some contents."""
         now = self.clock.monotonic()
-        return tuple(news_of(self.quarantine, c, now) for c in sorted(contents))
+        return tuple(content_update(self.quarantine, c, now) for c in sorted(contents))
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keeper:
+class EngineKeeper:
     """The host that orders a data centre's engines.
 
     Parameters
@@ -61,11 +61,11 @@
 
     Parameters
     ----------
-    view_from : HostId or None
+    fleet_view_hub : HostId or None
         The hub that told what all other hosts have, if one did last.
-    view_at : timedelta
+    fleet_view_at : timedelta
         When it did.
-    slack_from : timedelta
+    repeat_slack_from : timedelta
         When this host has its share of the slack of repeats.
     """
 
@@ -83,68 +83,68 @@
     demand: AdapterDemand = field(default_factory=AdapterDemand)
     quarantine: Quarantine = field(default_factory=Quarantine)
     orders: OrderTask | None = None
-    view_from: HostId | None = None
-    view_at: Instant = ZERO
-    slack_from: Instant = ZERO
-    size: FleetSize = field(init=False)
+    fleet_view_hub: HostId | None = None
+    fleet_view_at: Instant = ZERO
+    repeat_slack_from: Instant = ZERO
+    fleet_size: FleetSize = field(init=False)
     quotas: FleetQuotas = field(init=False)
 
     def __post_init__(self) -> None:
         """Open the book of quotas."""
-        self.size = FleetSize(self.fleet, self.clock)
-        self.quotas = FleetQuotas(self.size, self.clock, self.random.random)
+        self.fleet_size = FleetSize(self.fleet, self.clock)
+        self.quotas = FleetQuotas(self.fleet_size, self.clock, self.random.random)
 
     # What comes in.
 
-    def take_catalogue(self, catalogue: Catalogue) -> None:
+    def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Take what the store publishes, and forget targets that are gone."""
         before, self.catalogue = self.catalogue, catalogue
         for target_id, published in catalogue.targets.items():
-            was = before.targets.get(target_id)
-            if was is not None and was.incarnation < published.incarnation:
-                self.forget_start(target_id)
+            previous = before.targets.get(target_id)
+            if previous is not None and previous.incarnation < published.incarnation:
+                self.forget_incarnation(target_id)
         self.quotas.take_catalogue(before, catalogue)
         known = frozenset(catalogue.targets)
         self.health.prune_unlisted(known)
         self.residency.prune_unlisted(known)
 
-    def forget_start(self, target_id: TargetId) -> None:
+    def forget_incarnation(self, target_id: TargetId) -> None:
         """Drop what was learned of an earlier start of a target."""
         self.health.forget_target(target_id)
         self.loads.forget_target(target_id)
         self.uses.forget_target(target_id)
 
-    def take_digest(self, heard: HeardDigest) -> None:
+    def apply_digest(self, received: HeardDigest) -> None:
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
-        digest = heard.digest
+        digest = received.digest
         self.loads.has_fleet_pace = not self.fleet.is_mesh
         self.loads.peer_expiry = max(PEER_SHARE_EXPIRY, self.fleet.longest_silence())
         match digest.scope:
-            case DigestScope.HOST | DigestScope.DATA_CENTRE if self.gathers():
-                self.take_part(heard)
+            case DigestScope.HOST | DigestScope.DATA_CENTRE if self.receives_host_digests():
+                self.apply_host_digest(received)
             case DigestScope.FLEET if self.fleet.hub() == digest.host:
-                self.take_sum(heard)
+                self.apply_fleet_digest(received)
         for holdings in digest.holdings:
-            self.hear_holdings(holdings, heard.at)
+            self.apply_holdings(holdings, received.at)
 
-    def gathers(self) -> bool:
+    def receives_host_digests(self) -> bool:
         """Return whether this host hears others' parts, not their sum from a hub."""
         return self.fleet.is_mesh or self.fleet.is_hub()
 
-    def take_part(self, heard: HeardDigest) -> None:
+    def apply_host_digest(self, received: HeardDigest) -> None:
         """Take the part of one host, or of the hosts of one data centre."""
-        digest, now = heard.digest, heard.at
+        digest, now = received.digest, received.at
         host_id = digest.host.host_id
-        if self.view_from is not None and not self.is_gathering(now):
+        if self.fleet_view_hub is not None and not self.is_gathering(now):
             # The sum over all hosts, told until now by a hub, counts this one, too.
-            self.lose_peer(self.view_from)
-            self.view_from = None
+            self.forget_peer(self.fleet_view_hub)
+            self.fleet_view_hub = None
         if digest.scope is DigestScope.DATA_CENTRE:
-            self.lose_behind(digest.host)
+            self.forget_peers_behind(digest.host)
         self.loads.apply_peer_shares(host_id, digest.shares, now)
         self.health.tally.apply_peer_outcomes(host_id, digest.outcomes, now)
         self.demand.apply_peer_demand(host_id, digest.demand, now)
-        self.quotas.take_part(heard)
+        self.quotas.take_part(received)
         uses = {(u.target, u.adapter): u.count for u in digest.uses}
         self.uses.replace_peer_counts(host_id, uses)
 
@@ -153,35 +153,35 @@
 
         It goes by the last hub's sum until each has told its own, and tells no sum.
         """
-        if self.view_from is None:
+        if self.fleet_view_hub is None:
             return False
-        return now - self.view_at < GATHERING_PERIODS * seconds(
+        return now - self.fleet_view_at < GATHERING_PERIODS * seconds(
             self.fleet.hub_period_s()
         )
 
-    def take_sum(self, heard: HeardDigest) -> None:
+    def apply_fleet_digest(self, received: HeardDigest) -> None:
         """Take from this data centre's hub what all other hosts have and saw."""
-        digest, now = heard.digest, heard.at
+        digest, now = received.digest, received.at
         host_id = digest.host.host_id
-        self.view_from = host_id
-        self.view_at = now
+        self.fleet_view_hub = host_id
+        self.fleet_view_at = now
         self.loads.apply_fleet_shares(host_id, digest.shares, now)
         self.health.tally.apply_fleet_outcomes(host_id, digest.outcomes, now)
         self.demand.apply_fleet_demand(host_id, digest.demand, now)
-        self.quotas.take_sum(heard)
+        self.quotas.take_sum(received)
         for peer in tuple(self.uses.peers):
             self.uses.forget_peer(peer)
 
-    def lose_behind(self, hub: Contact) -> None:
+    def forget_peers_behind(self, hub: Contact) -> None:
         """Drop the parts of hosts that a data centre's hub speaks for."""
         for host_id in {*self.loads.peers, *self.uses.peers}:
             peer = self.fleet.peers.get(host_id)
             if host_id == hub.host_id or peer is None:
                 continue
             if peer.contact.data_centre == hub.data_centre:
-                self.lose_peer(host_id)
+                self.forget_peer(host_id)
 
-    def hear_holdings(self, holdings: EngineHoldings, now: Instant) -> None:
+    def apply_holdings(self, holdings: EngineHoldings, now: Instant) -> None:
         """Take what an engine holds from the host that orders it."""
         coming = {
             parse_adapter_ref(text).unwrap(): now + seconds(in_s)
@@ -201,7 +201,7 @@
         if self.residency.apply_update(holdings.target, held) and self.orders is not None:
             self.orders.hear_holdings(holdings)
 
-    def lose_peer(self, host_id: HostId) -> None:
+    def forget_peer(self, host_id: HostId) -> None:
         """Drop the share of a peer that is gone."""
         self.loads.forget_peer(host_id)
         self.health.tally.forget_peer(host_id)
@@ -213,7 +213,7 @@
         """Return this host's uses of adapters, for its peers."""
         return tuple(AdapterUse(t, a, n) for (t, a), n in self.uses.own.items())
 
-    def uses_of(
+    def summed_uses(
         self, hosts: Iterable[HostId], data_centre: str
     ) -> tuple[AdapterUse, ...]:
         """Return the uses of this host and some peers of a data centre's engines."""
@@ -227,10 +227,10 @@
 
     def count_hosts(self) -> None:
         """Count the hosts that live, among which bounds on all of them are divided."""
-        self.size.count()
+        self.fleet_size.count()
         self.quotas.take_size()
 
-    def take_repeat_policy(self, policy: RepeatPolicy) -> None:
+    def apply_repeat_policy(self, policy: RepeatPolicy) -> None:
         """Take another bound on further attempts; what was counted stays."""
         self.repeat_policy = policy
         for budget in self.budgets.values():
@@ -238,20 +238,20 @@
 
     # What a request sees.
 
-    def budget(self, pool: PoolName) -> RepeatBudget:
+    def repeat_budget(self, pool: PoolName) -> RepeatBudget:
         """Return this host's budget of repeats at a pool."""
         found = self.budgets.get(pool)
         if found is None:
-            found = RepeatBudget(self.repeat_policy, self.slack_from)
+            found = RepeatBudget(self.repeat_policy, self.repeat_slack_from)
             self.budgets[pool] = found
         return found
 
-    def wanted(self, terms: RequestTerms) -> AdapterRef:
+    def required_adapter(self, terms: RequestTerms) -> AdapterRef:
         """Return the adapter that a request needs, in its newest version."""
         version = self.catalogue.newest.get(terms.adapter, FIRST_VERSION)
         return AdapterRef(terms.adapter, version)
 
-    def keepers(self, data_centres: Iterable[str]) -> dict[str, Keeper]:
+    def keepers(self, data_centres: Iterable[str]) -> dict[str, EngineKeeper]:
         """Return the hosts that order the engines of data centres, where known."""
         peers = self.fleet.keepers()
         found = {}
@@ -259,12 +259,12 @@
             keeper = self.own_keeping(data_centre)
             peer = peers.get(data_centre)
             if keeper is None and peer is not None:
-                keeper = Keeper(peer.contact.host_id, peer.orders_in_s, is_self=False)
+                keeper = EngineKeeper(peer.contact.host_id, peer.orders_in_s, is_self=False)
             if keeper is not None:
                 found[data_centre] = keeper
         return found
 
-    def own_keeping(self, data_centre: str) -> Keeper | None:
+    def own_keeping(self, data_centre: str) -> EngineKeeper | None:
         """Return this host as the one that orders a data centre's engines, if it is."""
         orders = self.orders
         if orders is None or data_centre != self.data_centre:
@@ -272,9 +272,9 @@
         opens_in_s = orders.orders_in_s
         if opens_in_s == float("inf"):
             return None
-        return Keeper(orders.me, opens_in_s, is_self=True)
+        return EngineKeeper(orders.me, opens_in_s, is_self=True)
 
-    def keeper_of(self, data_centre: str) -> Keeper | None:
+    def keeper_of(self, data_centre: str) -> EngineKeeper | None:
         """Return the host that orders a data centre's engines, if one is known."""
         return self.keepers((data_centre,)).get(data_centre)
 
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -18,15 +18,15 @@
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 from sardinequay_core.roster import EMPTY_ROSTER, Presence, Roster, Target
 
-from .caller_requests import Envelope, guarded_run
+from .caller_requests import RequestEnvelope, make_guarded_run
 from .claimer import Claimer, WonClaim
-from .content_guard import PROBE_WAIT_S, ContentGuard
+from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .dispatch import RetryBudgets
 from .errors import TargetError, TargetFault
 from .journal import Journal
 from .metrics import Metrics
-from .progress import Progress, Refused, too_late
-from .target_errors import BROKEN_ERRORS, TurnedErrors
+from .progress import Progress, RequestRefusedError, deadline_refusal
+from .target_errors import BROKEN_ERRORS, TargetErrorTranslator
 from .tracing import Tracing
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
@@ -45,8 +45,8 @@
         "content-length",
     }
 )
-AVOID_FOR = timedelta(seconds=3)
-RETRY_AFTER = timedelta(seconds=1)
+AVOID_DURATION = timedelta(seconds=3)
+NO_TARGET_RETRY_AFTER = timedelta(seconds=1)
 log = logging.getLogger(__name__)
 
 
@@ -54,7 +54,7 @@
 class ServiceRequest:
     """A request for a plain service."""
 
-    envelope: Envelope
+    envelope: RequestEnvelope
     service: Service
     method: str
     path: str
@@ -99,17 +99,17 @@
         self.in_flight: dict[TargetId, int] = {}
         self.avoided: dict[TargetId, Instant] = {}
 
-    def take_roster(self, roster: Roster) -> None:
+    def apply_roster(self, roster: Roster) -> None:
         """Take the list; targets that leave get no new work from now on."""
         self.roster = roster
 
     def forward(
         self, request: ServiceRequest, progress: Progress, span: Span
-    ) -> Forwarding:
+    ) -> ForwardedRequest:
         """Return the way of one request to a target and of its answer back."""
-        return Forwarding(self, request, progress, span)
+        return ForwardedRequest(self, request, progress, span)
 
-    def count(self, target: Target, change: int) -> None:
+    def count_in_flight(self, target: Target, change: int) -> None:
         """Count a request in or out at a target."""
         name = target.target_id
         self.in_flight[name] = self.in_flight.get(name, 0) + change
@@ -125,7 +125,7 @@
         usable = [t for t in live if self.avoided.get(t.target_id, now) <= now]
         if not live:
             text = "no target of the service is live"
-            raise Refused(not_run_refusal(Reason.NO_TARGET, text, RETRY_AFTER))
+            raise RequestRefusedError(not_run_refusal(Reason.NO_TARGET, text, NO_TARGET_RETRY_AFTER))
         return min(
             usable or live,
             key=lambda t: (self.in_flight.get(t.target_id, 0), self.random.random()),
@@ -139,7 +139,7 @@
         error: TargetError,
     ) -> None:
         """Permit another attempt by returning, or raise the request's failure."""
-        self.avoided[target.target_id] = self.clock.monotonic() + AVOID_FOR
+        self.avoided[target.target_id] = self.clock.monotonic() + AVOID_DURATION
         self.journal.note(
             request.envelope.request_id,
             "failed",
@@ -148,7 +148,7 @@
         )
         progress.end_attempt(error.proves_not_run)
         if not error.proves_not_run and not request.is_repeatable:
-            raise Refused(refusal_of(error, progress)) from error
+            raise RequestRefusedError(final_service_refusal(error, progress)) from error
 
     async def send(
         self, target: Target, request: ServiceRequest, span: Span, is_first: bool
@@ -159,12 +159,12 @@
         have gone silent, and then nobody could tell whether the request arrived. So
         does a further attempt, which a second broken connection must not cost.
         """
-        may_use_kept = request.is_repeatable and is_first
-        session = self.session if may_use_kept else self.fresh_session
+        may_reuse_connection = request.is_repeatable and is_first
+        session = self.session if may_reuse_connection else self.fresh_session
         self.journal.note(
             request.envelope.request_id, "dispatched", target=target.target_id
         )
-        with TurnedErrors():
+        with TargetErrorTranslator():
             return await session.request(
                 request.method,
                 f"http://{target.address}{request.path}",
@@ -176,17 +176,17 @@
 
     def headers(self, request: ServiceRequest, span: Span) -> CIMultiDict[str]:
         """Return the headers to pass on, and the trace's."""
-        headers = pass_through(request.headers)
+        headers = end_to_end_headers(request.headers)
         headers.popall("Authorization", None)
         headers["X-Request-Id"] = request.envelope.request_id
         headers.update(self.tracing.headers(span))
         return headers
 
 
-class Forwarding:
+class ForwardedRequest:
     """One request on its way; a context that yields the target's answer.
 
-    Entering raises `Refused` if no target gives an answer; leaving settles the key.
+    Entering raises `RequestRefusedError` if no target gives an answer; leaving settles the key.
     """
 
     def __init__(
@@ -201,14 +201,14 @@
         self.progress = progress
         self.span = span
         self.claim: WonClaim | None = None
-        self.run = guarded_run(
+        self.run = make_guarded_run(
             request.envelope, request.method, request.path, request.body
         )
         self.target: Target | None = None
         self.answer: aiohttp.ClientResponse | None = None
         self.sent_at = forwarder.clock.monotonic()
 
-    def ran_s(self) -> float:
+    def attempt_age_s(self) -> float:
         """Return how long ago the last attempt began, in seconds."""
         return (self.forwarder.clock.monotonic() - self.sent_at).total_seconds()
 
@@ -217,10 +217,10 @@
         claimer, envelope = self.forwarder.claimer, self.request.envelope
         self.claim = await claimer.claim_for(envelope, self.span)
         try:
-            self.answer = await self.attempt_all()
+            self.answer = await self.send_with_retries()
         except BaseException:
-            self.settle(ran=False)
-            self.forwarder.guard.leave(self.run)
+            self.settle_claim(ran=False)
+            self.forwarder.guard.release_permit(self.run)
             raise
         self.progress.last_event = 1
         return self.answer
@@ -231,45 +231,45 @@
         """Settle the key and give the connection back, or close a broken one."""
         assert self.answer is not None
         assert self.target is not None
-        self.settle(ran=error is None)
-        self.forwarder.count(self.target, -1)
+        self.settle_claim(ran=error is None)
+        self.forwarder.count_in_flight(self.target, -1)
         self.answer.release() if error is None else self.answer.close()
         if error is None:
-            self.forwarder.guard.answered(self.run.content)
+            self.forwarder.guard.record_answer(self.run.content)
         elif isinstance(error, BROKEN_ERRORS):
-            self.forwarder.guard.broke(self.run, self.target, 0, self.ran_s())
-        self.forwarder.guard.leave(self.run)
+            self.forwarder.guard.handle_broken_connection(self.run, self.target, 0, self.attempt_age_s())
+        self.forwarder.guard.release_permit(self.run)
         if isinstance(error, BROKEN_ERRORS):
             text = f"the answer was cut off: {error!r}"
             lost = Refusal(Reason.ANSWER_LOST, Outcome.RAN, text)
-            raise Refused(lost) from error
+            raise RequestRefusedError(lost) from error
 
-    def settle(self, ran: bool) -> None:
+    def settle_claim(self, ran: bool) -> None:
         """Tell the guards what became of a claimed request."""
         if self.claim is not None:
             outcome = Outcome.RAN if ran else self.progress.outcome
             self.forwarder.claimer.settle(self.claim, outcome)
 
-    async def attempt_all(self) -> aiohttp.ClientResponse:
+    async def send_with_retries(self) -> aiohttp.ClientResponse:
         """Send the request to one target after another until one answers."""
         forwarder, request, progress = self.forwarder, self.request, self.progress
-        budget = forwarder.budgets.of(request.service.pool)
+        budget = forwarder.budgets.for_pool(request.service.pool)
         budget.record_first_attempt()
         guard, run = forwarder.guard, self.run
         while True:
             # A target's end also counts against the request, which would else end one
             # target after the other.
-            await guard.settled(run, PROBE_WAIT_S)
-            guard.refuse_held(run)
+            await guard.wait_for_verdict(run, MAX_PROBE_WAIT_S)
+            guard.refuse_if_held(run)
             target = forwarder.choose(request)
             if not await guard.may_run(run):
                 continue
             # A process that was frozen must not act on a claim that may have expired.
             if forwarder.clock.monotonic() >= request.envelope.deadline:
-                raise Refused(too_late(progress))
+                raise RequestRefusedError(deadline_refusal(progress))
             progress.begin_attempt()
             self.sent_at = forwarder.clock.monotonic()
-            forwarder.count(target, 1)
+            forwarder.count_in_flight(target, 1)
             try:
                 with forwarder.tracing.child_span("service", self.span) as span:
                     is_first = progress.attempts == 1
@@ -278,18 +278,18 @@
                 return answer
             except TargetError as error:
                 if not error.proves_not_run:
-                    guard.broke(run, target, 0, self.ran_s())
+                    guard.handle_broken_connection(run, target, 0, self.attempt_age_s())
                     run.may_have_run = True
                 forwarder.after_failure(request, target, progress, error)
                 if not budget.try_spend(progress.attempts):
-                    raise Refused(refusal_of(error, progress)) from error
+                    raise RequestRefusedError(final_service_refusal(error, progress)) from error
                 forwarder.metrics.retries.inc({"pool": request.service.pool})
             finally:
                 if self.target is None:
-                    forwarder.count(target, -1)
+                    forwarder.count_in_flight(target, -1)
 
 
-def pass_through(headers: Mapping[str, str]) -> CIMultiDict[str]:
+def end_to_end_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
     """Return the headers that are not about one connection only."""
     passed: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
@@ -298,7 +298,7 @@
     return passed
 
 
-def refusal_of(error: TargetError, progress: Progress) -> Refusal:
+def final_service_refusal(error: TargetError, progress: Progress) -> Refusal:
     """Return the final answer after a failed attempt that is not repeated."""
     if progress.may_have_run:
         text = f"the service's answer was lost: {error}"
@@ -307,4 +307,4 @@
     if error.fault is TargetFault.NOT_SENT:
         reason = Reason.TARGET_UNREACHABLE
     text = f"no target took the request: {error}"
-    return not_run_refusal(reason, text, RETRY_AFTER)
+    return not_run_refusal(reason, text, NO_TARGET_RETRY_AFTER)
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -16,14 +16,14 @@
 from sardinequay_core.repeat_budget import SLACK_DELAY
 from sardinequay_core.target_health import trial_turn_of
 
-from .attempt import RelayParts
-from .caller_gate import CallerGate
+from .attempt import RelayDependencies
+from .caller_admission import CallerAdmission
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, PermitBack
 from .decision_log import BoundedOutput
 from .digest_writer import DigestWriter
-from .end_watch import EndWatch
+from .target_end_detector import TargetEndDetector
 from .errors import StartError
 from .fleet_task import FleetTask, HeardDigest
 from .host_pages import pages_app
@@ -44,7 +44,7 @@
 )
 from .serving_metrics import ServingMetrics
 from .serving_ports import (
-    CallDialect,
+    HttpDialect,
     EngineOrders,
     HostProfile,
     MetadataStore,
@@ -54,7 +54,7 @@
 from .target_probe import TargetProbe
 from .tracing import Tracing
 from .upstream import Upstream
-from .wants import WantBoard
+from .load_requests import LoadRequestClient
 
 EXIT_PORT_IN_USE = 3
 PEER_TIMING = TimingSettings(call_timeout_s=0.6, silence_s=1.0, connect_timeout_s=0.4)
@@ -84,7 +84,7 @@
 
     profile: HostProfile
     store: MetadataStore
-    dialect: CallDialect
+    dialect: HttpDialect
     engines: EngineOrders
 
 
@@ -142,7 +142,7 @@
             random,
             bounds.repeats,
             self.fleet,
-            slack_from=ZERO if profile.is_first_start else began + SLACK_DELAY,
+            repeat_slack_from=ZERO if profile.is_first_start else began + SLACK_DELAY,
         )
         self.state.quotas.take_policy(bounds.quotas)
         self.state.health.trial_turn = trial_turn_of(profile.host_id)
@@ -172,13 +172,13 @@
         self.guard = ContentGuard(
             profile.host_id,
             self.state.quarantine,
-            EndWatch(
+            TargetEndDetector(
                 TargetProbe(
                     ConnectionProbe(profile.callers.ip).accepts,
                     deployment.engines,
                     self.state.is_busy,
                     self.state.health_path,
-                ).lives,
+                ).is_alive,
                 lambda target: self.state.catalogue.is_live(target),
                 lambda pool: self.metrics.target_ends.inc({"pool": pool}),
             ),
@@ -187,11 +187,11 @@
             clock,
         )
         self.relay = Relay(
-            RelayParts(
+            RelayDependencies(
                 self.state,
                 deployment.dialect,
                 self.upstream,
-                WantBoard(self.state, self.peers),
+                LoadRequestClient(self.state, self.peers),
                 self.metrics,
                 tracing,
             ),
@@ -199,7 +199,7 @@
         )
         self.server = RelayServer(
             self.relay,
-            CallerGate(self.state, self.store_age_s, self.metrics),
+            CallerAdmission(self.state, self.store_age_s, self.metrics),
             self.state,
             deployment.dialect,
             self.metrics,
@@ -217,22 +217,22 @@
 
     def connect(self) -> None:
         """Say which task hears of which change, and who answers which message."""
-        self.store.catalogues.subscribe(self.state.take_catalogue)
+        self.store.catalogues.subscribe(self.state.apply_catalogue)
         self.store.catalogues.subscribe(self.orders.take_catalogue)
         self.store.catalogues.subscribe(self.tell_catalogue)
-        self.store.catalogues.subscribe(self.guard.take_catalogue)
-        self.fleet.digests.subscribe(self.state.take_digest)
+        self.store.catalogues.subscribe(self.guard.apply_catalogue)
+        self.fleet.digests.subscribe(self.state.apply_digest)
         self.fleet.digests.subscribe(self.take_contents)
         self.fleet.digests.subscribe(self.writer.take_digest)
         self.fleet.digests.subscribe(self.take_digest)
-        self.fleet.lost.subscribe(self.state.lose_peer)
+        self.fleet.lost.subscribe(self.state.forget_peer)
         self.fleet.lost.subscribe(self.writer.tell_anew)
         self.fleet.holds_lease = lambda: self.lease.is_holder
         self.lease.newest_revision = lambda: self.store.newest_revision
         server = self.peer_server
         server.register(Digest, self.fleet.answer)
-        server.register(AskPermit, self.guard.answer_ask)
-        server.register(PermitBack, self.guard.answer_back)
+        server.register(AskPermit, self.guard.handle_ask_permit)
+        server.register(PermitBack, self.guard.handle_permit_back)
         server.register(FetchItems, self.store.answer_fetch)
         server.register(Ballot, self.lease.answer_ballot)
         server.register(Resign, self.lease.answer_resign)
@@ -244,7 +244,7 @@
         """Take settings that changed: seeds and bounds; addresses stay."""
         self.profile = replace(self.profile, seeds=profile.seeds, bounds=profile.bounds)
         self.fleet.set_seeds(profile.seeds)
-        self.state.take_repeat_policy(profile.bounds.repeats)
+        self.state.apply_repeat_policy(profile.bounds.repeats)
         self.state.quotas.take_policy(profile.bounds.quotas)
         self.lease.take_policy(OrderPolicy(quiet=profile.bounds.order_quiet))
         log.info("settings reloaded", extra={"seeds": [str(s) for s in profile.seeds]})
@@ -259,7 +259,7 @@
         """Let this host and its peers know what engines hold now."""
         now = self.clock.monotonic()
         for holdings in self.orders.holdings():
-            self.state.hear_holdings(holdings, now)
+            self.state.apply_holdings(holdings, now)
         self.fleet.tell_soon(far=True)
 
     def tell_catalogue(self, _: Catalogue) -> None:
@@ -269,7 +269,7 @@
 
     def take_contents(self, heard: HeardDigest) -> None:
         """Take what a peer knows against contents of requests."""
-        self.guard.take(heard.digest.contents)
+        self.guard.apply_updates(heard.digest.contents)
 
     def take_digest(self, heard: HeardDigest) -> None:
         """Fetch what a peer knows of the store and this host does not."""
@@ -310,7 +310,7 @@
                     group.create_task(self.store.run()),
                     group.create_task(self.fleet.run()),
                     group.create_task(self.orders.run()),
-                    group.create_task(self.server.sweep()),
+                    group.create_task(self.server.close_overdue_connections()),
                     group.create_task(self.tidy()),
                 ]
                 await stop.wait()
@@ -348,7 +348,7 @@
             )
             await self.serve_http(ready, profile.readiness)
             metrics = web.AppRunner(
-                pages_app(self.metrics.registry, self.status, self.guard.lift),
+                pages_app(self.metrics.registry, self.status, self.guard.lift_quarantine),
                 access_log=None,
             )
             await self.serve_http(metrics, profile.metrics)
@@ -387,7 +387,7 @@
             "live_hosts": self.fleet.live_hosts,
             "orders_engines": self.lease.is_holder,
             "in_flight": self.server.in_flight,
-            "quarantined": [asdict(held) for held in self.guard.held()],
+            "quarantined": [asdict(held) for held in self.guard.held_contents()],
             "peers": sorted(p.contact.host_id for p in self.fleet.alive()),
             "targets": {
                 t: p.target.presence.value for t, p in catalogue.targets.items()
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -19,35 +19,35 @@
     select_engine,
 )
 
-from .attempt import RelayParts
-from .exchange import Exchange
-from .progress import Refused, may_have_run
+from .attempt import RelayDependencies
+from .exchange import RelayExchange
+from .progress import RequestRefusedError, answer_lost_refusal
 from .serving_messages import WantAdapter, WantReply
 from .target_options import TargetOptions
 
-LOOK_AGAIN_S = 0.4
+REEVALUATE_AFTER_S = 0.4
 """How long a request waits for one engine before all are compared anew, in seconds: a
 little longer than a load takes. Bound to its first choice it would wait for a place
 while other engines have some."""
 
-MAX_FAILED_ASKS = 4
+MAX_FAILED_LOAD_REQUESTS = 4
 """Wishes for an adapter that may fail before a request is refused."""
 
-UNKNOWN_WAIT_S = 2.0
+ASSUMED_QUEUE_WAIT_S = 2.0
 """Taken for an engine's queue after a wish there failed without saying how long."""
 
-MAX_OFFERS = 2
+MAX_REJECTIONS_PER_TARGET = 2
 """How often a target of a plain pool is offered one request: each further arrival costs
 a full one work that serves nobody."""
 
-OFFER_PAUSE_S = 0.02
+NEXT_TARGET_PAUSE_S = 0.02
 """Before a request that was rejected is offered to another target, in seconds."""
 
 SAME_TARGET_PAUSE_S = 0.1
 """The same before it is offered to one that rejected it: for so long a target counts as
 full."""
 
-RETRY_SPREAD_S = 0.25
+RETRY_JITTER_S = 0.25
 """Callers that are told to come back at one moment come spread over this."""
 
 NO_TARGET_RETRY = seconds(0.5)
@@ -63,14 +63,14 @@
 class TargetPicker:
     """Chooses by the state of this host and what keepers of engines answer."""
 
-    def __init__(self, parts: RelayParts) -> None:
+    def __init__(self, parts: RelayDependencies) -> None:
         self.state = parts.state
         self.options = TargetOptions(parts.state)
-        self.wants = parts.wants
+        self.wants = parts.load_requests
         self.metrics = parts.metrics
         self.clock = parts.state.clock
 
-    async def choose(self, exchange: Exchange) -> PublishedTarget:
+    async def choose(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the target for the next attempt, waiting for an adapter if need be."""
         config = self.state.catalogue.config
         pool = config.pools.get(exchange.pool) if config else None
@@ -78,58 +78,58 @@
             return self.choose_service(exchange)
         return await self.choose_engine(exchange)
 
-    def choose_service(self, exchange: Exchange) -> PublishedTarget:
+    def choose_service(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the target of a plain service with the least to do."""
         options = self.options.service_options(exchange.pool, exchange.tried)
         found = select_target(options)
         if found is None:
-            raise Refused(self.no_target(exchange))
+            raise RequestRefusedError(self.no_target_refusal(exchange))
         self.log_choice(exchange, found, "least filled", len(options))
         return self.state.catalogue.targets[found]
 
-    def pause_s(self, exchange: Exchange) -> float:
+    def retry_pause_s(self, exchange: RelayExchange) -> float:
         """Return the pause before the next attempt of a rejected request, in seconds.
 
         Raises
         ------
-        Refused
+        RequestRefusedError
             If each usable target of a plain pool has rejected it often enough. Engines
             are left to their own choice.
         """
         if exchange.terms.model:
-            return OFFER_PAUSE_S
-        usable = self.options.usable(exchange.pool, self.clock.monotonic())
-        asked = [exchange.rejections[t.target.target_id] for t in usable]
-        if 0 in asked:
-            return OFFER_PAUSE_S
-        if min(asked, default=MAX_OFFERS) < MAX_OFFERS:
+            return NEXT_TARGET_PAUSE_S
+        usable = self.options.usable_targets(exchange.pool, self.clock.monotonic())
+        rejection_counts = [exchange.rejections[t.target.target_id] for t in usable]
+        if 0 in rejection_counts:
+            return NEXT_TARGET_PAUSE_S
+        if min(rejection_counts, default=MAX_REJECTIONS_PER_TARGET) < MAX_REJECTIONS_PER_TARGET:
             return SAME_TARGET_PAUSE_S
-        if exchange.so_far.runs:
-            raise Refused(may_have_run())
+        if exchange.attempts_so_far.runs:
+            raise RequestRefusedError(answer_lost_refusal())
         text = "each target of the pool has rejected the request"
-        wait = come_back(self.state.random, NO_TARGET_RETRY)
-        raise Refused(not_run_refusal(Reason.TARGET_REFUSED, text, wait))
+        wait = jittered_retry_after(self.state.random, NO_TARGET_RETRY)
+        raise RequestRefusedError(not_run_refusal(Reason.TARGET_REFUSED, text, wait))
 
-    def no_target(self, exchange: Exchange) -> Refusal:
+    def no_target_refusal(self, exchange: RelayExchange) -> Refusal:
         """Return the refusal of a request for which there is no target."""
-        if exchange.so_far.runs:
-            return may_have_run()
+        if exchange.attempts_so_far.runs:
+            return answer_lost_refusal()
         text = "no target of the pool is live"
         return not_run_refusal(
-            Reason.NO_TARGET, text, come_back(self.state.random, NO_TARGET_RETRY)
+            Reason.NO_TARGET, text, jittered_retry_after(self.state.random, NO_TARGET_RETRY)
         )
 
-    async def choose_engine(self, exchange: Exchange) -> PublishedTarget:
+    async def choose_engine(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the engine for the next attempt, with the adapter on it."""
-        told: dict[TargetId, Instant] = {}
-        failed_asks = 0
+        expected_ready_at: dict[TargetId, Instant] = {}
+        failed_requests = 0
         terms = exchange.terms
         if terms.adapter:
             self.state.demand.record_request(terms.adapter, self.clock.monotonic())
         while True:
             now = self.clock.monotonic()
             options = self.options.engine_options(
-                exchange.pool, exchange.terms, exchange.tried, time_left(told, now)
+                exchange.pool, exchange.terms, exchange.tried, seconds_until(expected_ready_at, now)
             )
             left_s = exchange.first_event_left_s(now)
             due = self.options.copies_due(terms, len(options))
@@ -144,92 +144,92 @@
                 )
                 return self.state.catalogue.targets[choice.target]
             if not isinstance(choice, LoadOnEngine):
-                raise Refused(self.no_engine(exchange, choice, left_s))
+                raise RequestRefusedError(self.no_engine_refusal(exchange, choice, left_s))
             reply = await self.wait_for_load(exchange, choice.target, left_s)
             if reply.is_ready:
                 continue
             now = self.clock.monotonic()
             if reply.is_queued:
-                told[choice.target] = now + seconds(reply.expected_s)
+                expected_ready_at[choice.target] = now + seconds(reply.expected_s)
                 continue
-            told[choice.target] = now + seconds(reply.expected_s or UNKNOWN_WAIT_S)
-            failed_asks += 1
-            if failed_asks >= MAX_FAILED_ASKS:
-                busy = EnginesTooBusy(min(time_left(told, now).values()))
-                raise Refused(self.no_engine(exchange, busy, left_s))
-
-    def no_engine(
-        self, exchange: Exchange, choice: EnginesTooBusy | NoEngine, left_s: float
+            expected_ready_at[choice.target] = now + seconds(reply.expected_s or ASSUMED_QUEUE_WAIT_S)
+            failed_requests += 1
+            if failed_requests >= MAX_FAILED_LOAD_REQUESTS:
+                busy = EnginesTooBusy(min(seconds_until(expected_ready_at, now).values()))
+                raise RequestRefusedError(self.no_engine_refusal(exchange, busy, left_s))
+
+    def no_engine_refusal(
+        self, exchange: RelayExchange, choice: EnginesTooBusy | NoEngine, left_s: float
     ) -> Refusal:
         """Return the refusal of a request that no engine can begin in time."""
-        if exchange.so_far.runs:
-            return may_have_run()
+        if exchange.attempts_so_far.runs:
+            return answer_lost_refusal()
         if isinstance(choice, EnginesTooBusy):
             text = f"no engine can begin within {left_s:.2f} s"
-            wait = come_back(self.state.random, seconds(choice.wait_s))
+            wait = jittered_retry_after(self.state.random, seconds(choice.wait_s))
             return not_run_refusal(Reason.OVERLOADED, text, wait)
         text = "no engine has the adapter, and none can be ordered to load it now"
         return not_run_refusal(
-            Reason.NO_TARGET, text, come_back(self.state.random, NO_KEEPER_RETRY)
+            Reason.NO_TARGET, text, jittered_retry_after(self.state.random, NO_KEEPER_RETRY)
         )
 
     async def wait_for_load(
-        self, exchange: Exchange, target: TargetId, left_s: float
+        self, exchange: RelayExchange, target: TargetId, left_s: float
     ) -> WantReply:
         """Have an adapter loaded; return whether that went well."""
         began = self.clock.monotonic()
-        wanted = self.state.wanted(exchange.terms)
+        adapter_ref = self.state.required_adapter(exchange.terms)
         route = exchange.route
         loads, terms = self.state.loads, exchange.terms
         reading_s = loads.expected_first_event_s(target, terms.prompt_tokens, began)
         goal_s = (exchange.arrived + route.goal - began).total_seconds() - reading_s
-        ask = WantAdapter(
+        request = WantAdapter(
             target,
-            wanted,
-            worth_of(exchange.priority),
+            adapter_ref,
+            request_worth(exchange.priority),
             goal_s,
             left_s * MAX_WAIT_SHARE,
             exchange.waited_s(began),
-            LOOK_AGAIN_S,
+            REEVALUATE_AFTER_S,
         )
         # Its prompt counts there as work that waits. Uncounted, prompts that wait for
         # adapters all go to the engine that looks idle, and move on when their loads
         # are there, which then serve nobody.
         loads.record_dispatch(target, terms.prompt_tokens)
         try:
-            reply = await self.wants.ask(ask)
+            reply = await self.wants.request_load(request)
         finally:
             loads.record_end(target, terms.prompt_tokens, had_first_event=False)
-        took = (self.clock.monotonic() - began).total_seconds()
-        self.metrics.load_wait.observe({}, took)
+        elapsed_s = (self.clock.monotonic() - began).total_seconds()
+        self.metrics.load_wait.observe({}, elapsed_s)
         log.info(
             "waited for adapter",
             extra={
                 "request": exchange.terms.request_id,
                 "target": target,
-                "adapter": str(wanted),
+                "adapter": str(adapter_ref),
                 "ready": reply.is_ready,
                 "detail": reply.detail,
                 "expected_s": round(reply.expected_s, 3),
-                "waited_s": round(took, 4),
+                "waited_s": round(elapsed_s, 4),
             },
         )
         if reply.is_ready:
-            self.assume_resident(target, wanted)
+            self.assume_resident(target, adapter_ref)
         return reply
 
-    def assume_resident(self, target: TargetId, wanted: AdapterRef) -> None:
+    def assume_resident(self, target: TargetId, adapter_ref: AdapterRef) -> None:
         """Believe the host that orders an engine before its next digest comes."""
         residency = self.state.residency
         published = self.state.catalogue.targets.get(target)
         if published is None:
             return
-        if residency.resident_adapter(published, wanted) is None:
-            residency.record_loaded(published, wanted)
+        if residency.resident_adapter(published, adapter_ref) is None:
+            residency.record_loaded(published, adapter_ref)
 
     def log_choice(
         self,
-        exchange: Exchange,
+        exchange: RelayExchange,
         target: TargetId,
         why: str,
         options: int,
@@ -242,7 +242,7 @@
             extra={
                 "request": exchange.terms.request_id,
                 "target": target,
-                "content": exchange.guarded.content,
+                "content": exchange.guarded_run.content,
                 "adapter": exchange.terms.adapter,
                 "why": why,
                 "options": options,
@@ -250,23 +250,23 @@
                 "running": share.running,
                 "revision": self.state.catalogue.revision,
                 "store_age_s": round(self.state.fleet.freshest_store_age_s(), 2),
-                "attempt": exchange.so_far.runs + exchange.so_far.rejections + 1,
+                "attempt": exchange.attempts_so_far.runs + exchange.attempts_so_far.rejections + 1,
                 "expected_s": round(expected_s, 4),
                 "waited_s": round(exchange.waited_s(self.clock.monotonic()), 4),
             },
         )
 
 
-def time_left(due: Mapping[TargetId, Instant], now: Instant) -> dict[TargetId, float]:
+def seconds_until(due: Mapping[TargetId, Instant], now: Instant) -> dict[TargetId, float]:
     """Return how long it is until each of some moments, in seconds."""
     return {t: max(0.0, (at - now).total_seconds()) for t, at in due.items()}
 
 
-def worth_of(priority: int) -> float:
+def request_worth(priority: int) -> float:
     """Return what an answer is worth against another's: the more urgent, the more."""
     return 1.0 + 1.0 / (1 + priority)
 
 
-def come_back(random: Random, after: timedelta) -> timedelta:
+def jittered_retry_after(random: Random, after: timedelta) -> timedelta:
     """Return when to come back, spread so that callers do not come at once."""
-    return after + seconds(random.uniform(0, RETRY_SPREAD_S))
+    return after + seconds(random.uniform(0, RETRY_JITTER_S))
--- a/packages/daemon/src/sardinequay_daemon/target_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/target_probe.py
@@ -13,20 +13,20 @@
 from sardinequay_core.roster import Target
 
 
-class Sign(Enum):
+class ProbeResult(Enum):
     """What a target shows when it is asked about itself."""
 
-    SOUND = "sound"
-    ANOTHER_START = "another_start"
-    FAILING = "failing"
-    REFUSING = "refusing"
-    SILENT = "silent"
+    HEALTHY = "sound"
+    RESTARTED = "another_start"
+    UNHEALTHY = "failing"
+    REFUSED = "refusing"
+    NO_ANSWER = "silent"
 
 
-class Looks(Protocol):
+class StatusProbe(Protocol):
     """Asks a target about itself."""
 
-    async def look(self, target: Target, incarnation: int, health_path: str) -> Sign:
+    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
         """Return what a target shows of the start that had a request.
 
         Parameters
@@ -53,21 +53,21 @@
     def __init__(
         self,
         accepts: Callable[[Address], Awaitable[bool]],
-        looks: Looks,
+        status_probe: StatusProbe,
         is_busy: Callable[[TargetId], bool],
         health_path: Callable[[PoolName], str],
     ) -> None:
         self.accepts = accepts
-        self.looks = looks
+        self.status_probe = status_probe
         self.is_busy = is_busy
         self.health_path = health_path
 
-    async def lives(self, target: Target, incarnation: int) -> bool:
+    async def is_alive(self, target: Target, incarnation: int) -> bool:
         """Return whether the start of a target that had a request still lives."""
         if not await self.accepts(target.address):
             return False
         path = self.health_path(target.pool)
-        sign = await self.looks.look(target, incarnation, path)
-        if sign in (Sign.REFUSING, Sign.SILENT):
+        sign = await self.status_probe.probe_status(target, incarnation, path)
+        if sign in (ProbeResult.REFUSED, ProbeResult.NO_ANSWER):
             return self.is_busy(target.target_id)
-        return sign is Sign.SOUND
+        return sign is ProbeResult.HEALTHY
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -20,11 +20,11 @@
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_daemon.content_guard import ContentGuard
 from sardinequay_daemon.content_messages import AskPermit
-from sardinequay_daemon.content_news import news_of
-from sardinequay_daemon.end_watch import BrokenRequest
+from sardinequay_daemon.content_updates import content_update
+from sardinequay_daemon.target_end_detector import InterruptedRequest
 from sardinequay_daemon.errors import PeerError
 from sardinequay_daemon.guarded_run import GuardedRun
-from sardinequay_daemon.progress import Refused
+from sardinequay_daemon.progress import RequestRefusedError
 
 from .conftest import TurnedClock
 
@@ -33,12 +33,12 @@
 POOL = PoolName("lm")
 
 
-class Ends:
+class FakeEndDetector:
     """Says of each target that it ended, unless told otherwise."""
 
     has_ended = True
 
-    async def ended_under(self, _: BrokenRequest) -> bool:
+    async def has_ended_during(self, _: InterruptedRequest) -> bool:
         return self.has_ended
 
 
@@ -46,7 +46,7 @@
 class Fleet:
     """A host's view of the fleet, in which all others live."""
 
-    told: int = 0
+    announced: int = 0
     alive: list[HostId] = field(default_factory=lambda: list(HOSTS))
 
     def known_to_all(self) -> list[HostId]:
@@ -55,8 +55,8 @@
     def address_of(self, host_id: HostId) -> Address:
         return Address("127.0.0.1", 1 + HOSTS.index(host_id))
 
-    def tell_of(self, content: ContentId, is_own: bool) -> None:
-        self.told += 1
+    def announce_content(self, content: ContentId, is_own: bool) -> None:
+        self.announced += 1
 
 
 @dataclass
@@ -71,7 +71,7 @@
             return Failure(PeerError(str(address), "cut"))
         guard = self.guards[address.port - 1]
         is_ask = isinstance(message, AskPermit)
-        answer = guard.answer_ask if is_ask else guard.answer_back
+        answer = guard.handle_ask_permit if is_ask else guard.handle_permit_back
         return Success(await answer(message))
 
 
@@ -80,7 +80,7 @@
     made = Net()
     for host_id in HOSTS:
         made.guards.append(
-            ContentGuard(host_id, Quarantine(), Ends(), Fleet(), made, clock)
+            ContentGuard(host_id, Quarantine(), FakeEndDetector(), Fleet(), made, clock)
         )
     return made
 
@@ -94,58 +94,58 @@
     return Target(TargetId(name), POOL, TargetKind.ENGINE, DataCentre("za"), place)
 
 
-async def ended(guard: ContentGuard, name: str) -> None:
+async def end_target_under_request(guard: ContentGuard, name: str) -> None:
     """Let a target end under a request, and the host learn of it."""
     sent = run()
-    guard.broke(sent, target(name), 1, 0.1)
-    await guard.settled(sent, 5.0)
+    guard.handle_broken_connection(sent, target(name), 1, 0.1)
+    await guard.wait_for_verdict(sent, 5.0)
 
 
-def given(net: Net) -> ContentGuard:
+def issuing_guard(net: Net) -> ContentGuard:
     """Return the guard that gives the permits of the content."""
-    return net.guards[HOSTS.index(net.guards[0].giver(FATAL))]
+    return net.guards[HOSTS.index(net.guards[0].permit_issuer(FATAL))]
 
 
 def others(net: Net) -> list[ContentGuard]:
-    return [g for g in net.guards if g is not given(net)]
+    return [g for g in net.guards if g is not issuing_guard(net)]
 
 
-async def test_content_without_an_end_runs_as_it_likes(net, clock) -> None:
+async def test_content_without_an_end_needs_no_permit(net, clock) -> None:
     for guard in net.guards:
-        guard.refuse_held(run())
+        guard.refuse_if_held(run())
         assert await guard.may_run(run())
 
 
-async def test_second_end_holds_it_and_says_when_to_come_back(net, clock) -> None:
+async def test_second_end_quarantines_content_with_retry_after(net, clock) -> None:
     guard = net.guards[0]
-    await ended(guard, "e1")
-    guard.refuse_held(run())
-    await ended(guard, "e2")
+    await end_target_under_request(guard, "e1")
+    guard.refuse_if_held(run())
+    await end_target_under_request(guard, "e2")
     clock.turn(1)
-    with pytest.raises(Refused) as caught:
-        guard.refuse_held(run())
+    with pytest.raises(RequestRefusedError) as caught:
+        guard.refuse_if_held(run())
     refusal = caught.value.refusal
     assert (refusal.reason, refusal.outcome) == (Reason.QUARANTINED, Outcome.NOT_RUN)
     assert refusal.status == 503
     assert refusal.retry_after == seconds(4)
-    assert guard.fleet.told >= 2
+    assert guard.fleet.announced >= 2
 
 
-async def test_run_that_may_have_run_is_not_told_that_it_has_not(net, clock) -> None:
+async def test_refusal_after_a_possible_run_has_unknown_outcome(net, clock) -> None:
     guard = net.guards[0]
     for name in ("e1", "e2"):
-        await ended(guard, name)
+        await end_target_under_request(guard, name)
     sent = run()
     sent.may_have_run = True
-    with pytest.raises(Refused) as caught:
-        guard.refuse_held(sent)
+    with pytest.raises(RequestRefusedError) as caught:
+        guard.refuse_if_held(sent)
     assert caught.value.refusal.outcome is Outcome.UNKNOWN
 
 
-async def test_target_that_lives_counts_against_nobody(net, clock) -> None:
+async def test_live_target_does_not_make_content_suspect(net, clock) -> None:
     guard = net.guards[0]
-    guard.ends.has_ended = False
-    await ended(guard, "e1")
+    guard.end_detector.has_ended = False
+    await end_target_under_request(guard, "e1")
     assert not guard.quarantine.is_suspect(FATAL)
 
 
@@ -156,32 +156,32 @@
     permitted = [await g.may_run(e) for g, e in zip(net.guards, sent, strict=True)]
     assert sum(permitted) == 1
     first = permitted.index(True)
-    net.guards[first].leave(sent[first])
+    net.guards[first].release_permit(sent[first])
     await asyncio.gather(*net.guards[first].tasks)
     assert await net.guards[(first + 1) % len(HOSTS)].may_run(run())
 
 
-async def test_who_waits_too_long_for_a_permit_is_refused(net, clock) -> None:
+async def test_request_that_waits_too_long_for_a_permit_is_refused(net, clock) -> None:
     guard, other = others(net)[:2]
     guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     other.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     assert await guard.may_run(run())
     waiting = run()
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(RequestRefusedError) as caught:
         while not await other.may_run(waiting):
             pass
     assert caught.value.refusal.reason is Reason.QUARANTINED
     assert caught.value.refusal.retry_after
 
 
-async def test_what_a_run_showed_comes_back_with_its_permit(net, clock) -> None:
+async def test_returned_permit_carries_the_target_end(net, clock) -> None:
     guard, other = others(net)[:2]
     for g in (guard, other):
         g.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     sent = run()
     assert await guard.may_run(sent)
-    guard.broke(sent, target("e2"), 1, 0.1)
-    guard.leave(sent)
+    guard.handle_broken_connection(sent, target("e2"), 1, 0.1)
+    guard.release_permit(sent)
     while guard.tasks:
         await asyncio.gather(*guard.tasks)
     # The next host has not heard of the second end: the giver tells it.
@@ -190,7 +190,7 @@
     assert other.quarantine.remaining_hold(FATAL, clock.monotonic())
 
 
-async def test_host_that_is_cut_off_lets_one_at_a_time_run(net, clock) -> None:
+async def test_partitioned_host_runs_one_suspect_at_a_time(net, clock) -> None:
     guard = others(net)[0]
     guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     net.is_cut = True
@@ -198,32 +198,32 @@
     assert not await guard.may_run(run())
 
 
-async def test_answer_clears_it_for_all(net, clock) -> None:
+async def test_answer_clears_content_on_all_hosts(net, clock) -> None:
     guard, other = net.guards[:2]
     for g in (guard, other):
         g.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     clock.turn(1)
-    guard.answered(FATAL)
-    other.hear(news_of(guard.quarantine, FATAL, clock.monotonic()))
+    guard.record_answer(FATAL)
+    other.apply_update(content_update(guard.quarantine, FATAL, clock.monotonic()))
     assert not other.quarantine.is_suspect(FATAL)
 
 
-async def test_operator_lifts_it(net, clock) -> None:
+async def test_operator_lifts_quarantine(net, clock) -> None:
     guard = net.guards[0]
     for name in ("e1", "e2"):
-        await ended(guard, name)
+        await end_target_under_request(guard, name)
     clock.turn(1)
-    assert guard.lift(FATAL)
-    guard.refuse_held(run())
+    assert guard.lift_quarantine(FATAL)
+    guard.refuse_if_held(run())
 
 
-async def test_ends_told_by_one_host_hold_it_at_all(net, clock) -> None:
+async def test_content_update_quarantines_content_on_other_hosts(net, clock) -> None:
     guard, other = net.guards[:2]
     for name in ("e1", "e2"):
-        await ended(guard, name)
-    other.hear(news_of(guard.quarantine, FATAL, clock.monotonic()))
-    with pytest.raises(Refused):
-        other.refuse_held(run())
+        await end_target_under_request(guard, name)
+    other.apply_update(content_update(guard.quarantine, FATAL, clock.monotonic()))
+    with pytest.raises(RequestRefusedError):
+        other.refuse_if_held(run())
 
 
 def broken_end(clock: TurnedClock) -> TargetEnd:
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -39,7 +39,7 @@
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_core.target_health import AttemptResult
 from sardinequay_core.usage_view import Usage
-from sardinequay_daemon.content_news import take_news
+from sardinequay_daemon.content_updates import apply_content_update
 from sardinequay_daemon.digest_writer import DigestWriter
 from sardinequay_daemon.fleet_task import SEED_PERIOD_S, FleetTask, HeardDigest
 from sardinequay_daemon.relay_state import RelayState
@@ -121,11 +121,11 @@
             self.me, self.fleet, self.state, Store(), self.orders, clock
         )
         self.fleet.holds_lease = lambda: self.orders.lease.is_holder
-        self.fleet.digests.subscribe(self.state.take_digest)
+        self.fleet.digests.subscribe(self.state.apply_digest)
         self.fleet.digests.subscribe(self.take_contents)
         self.contents_heard = 0
         self.fleet.digests.subscribe(self.writer.take_digest)
-        self.fleet.lost.subscribe(self.state.lose_peer)
+        self.fleet.lost.subscribe(self.state.forget_peer)
         self.fleet.lost.subscribe(self.writer.tell_anew)
         self.is_down = False
         self.next_near = self.next_far = 0.0
@@ -133,7 +133,7 @@
     def take_contents(self, heard: HeardDigest) -> None:
         for news in heard.digest.contents:
             self.contents_heard += 1
-            take_news(self.state.quarantine, news, heard.at)
+            apply_content_update(self.state.quarantine, news, heard.at)
 
     def see_end(self, target: str) -> None:
         """See a target end under a request."""
@@ -625,7 +625,7 @@
     for host in world.hosts:
         host.state.count_hosts()
         assert host.fleet.live_hosts < 50
-        assert host.state.size.hosts() >= 50
+        assert host.state.fleet_size.hosts() >= 50
 
 
 def test_hosts_divide_repeats_by_all_while_a_hub_is_lost(world: World) -> None:
@@ -636,7 +636,7 @@
         world.pass_time(0.2)
         for host in world.hosts:
             host.state.count_hosts()
-            assert host.state.size.hosts() >= 50
+            assert host.state.fleet_size.hosts() >= 50
 
 
 def test_host_that_has_just_started_takes_a_small_part_of_the_repeats(
@@ -644,7 +644,7 @@
 ) -> None:
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     host = Host(7, clock, seeds)
-    assert host.state.size.hosts() == ASSUMED_HOSTS
+    assert host.state.fleet_size.hosts() == ASSUMED_HOSTS
     clock.turn(60)
     host.state.count_hosts()
-    assert host.state.size.hosts() == len(seeds) + 1
+    assert host.state.fleet_size.hosts() == len(seeds) + 1
