--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -138,7 +138,7 @@
         """Add the part of all others, for a host of this data centre."""
         now = self.clock.monotonic()
         others = self.state.loads.peers.keys() - {host_id}
-        known = (*self.orders.recent_holdings(), *self.orders.holdings_elsewhere(now))
+        known = (*self.orders.recent_holdings(), *self.orders.peer_holdings_snapshot(now))
         return replace(
             digest,
             shares=self.state.loads.all_but(host_id, now),
@@ -245,7 +245,7 @@
         if host_id in self.greeted:
             # It may order engines again, and forgot which adapters they load fast.
             self.greeted.discard(host_id)
-            untold += self.orders.holdings_elsewhere(now)
+            untold += self.orders.peer_holdings_snapshot(now)
         for holdings in known:
             # Whether an adapter is idle decides, not how many are: that changes with
             # each request.
--- a/packages/daemon/src/sardinequay_daemon/order_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_lease_task.py
@@ -23,20 +23,20 @@
 from .peers import PeerCaller
 from .serving_messages import Noted
 
-RENEW_S = 0.3
+RENEW_INTERVAL_S = 0.3
 """Between two rounds of ballots: three fit in a lease."""
 
-CAMPAIGN_STEP_S = 0.3
+CAMPAIGN_STAGGER_S = 0.3
 """How much later each further host stands, so that votes do not split."""
 
-STEP_BACK_SPREAD_S = 0.6
+SPLIT_VOTE_BACKOFF_S = 0.6
 """Two round trips of a canvass: who steps back less far wins the next one."""
 
-SLEPT_LEASES = 1.5
+SUSPENDED_AFTER_LEASES = 1.5
 """Leases between two steps after which a host was frozen: a slow canvass takes under
 one, and hosts that restart are chosen after two at the earliest."""
 
-BALLOT_S = 0.3
+BALLOT_TIMEOUT_S = 0.3
 """Bound on a voter's answer within a data centre."""
 
 log = logging.getLogger(__name__)
@@ -65,7 +65,7 @@
         random: Random,
         policy: OrderPolicy,
         is_first_start: bool,
-        began: Instant,
+        process_started_at: Instant,
     ) -> None:
         self.me = me
         self.data_centre = data_centre
@@ -75,14 +75,14 @@
         self.random = random
         self.policy = policy
         now = clock.monotonic()
-        abstains_until = now if is_first_start else began + policy.lease
+        abstains_until = now if is_first_start else process_started_at + policy.lease
         self.voter = Voter(policy, abstains_until, knows_tokens=is_first_start)
         self.candidate = Candidate(me, policy)
-        self.began = began
+        self.process_started_at = process_started_at
         self.no_holder_since = now
-        self.stepped_at = now
-        self.is_resigned = False
-        self.is_back = False
+        self.last_step_at = now
+        self.has_resigned = False
+        self.has_reclaimed_lease = False
         self.newest_revision: Callable[[], int] = lambda: 0
 
     @property
@@ -99,11 +99,11 @@
         now = self.clock.monotonic()
         return max(0.0, (self.candidate.may_order_from - now).total_seconds())
 
-    def take_policy(self, policy: OrderPolicy) -> None:
+    def apply_policy(self, policy: OrderPolicy) -> None:
         """Take other times; they hold for what comes."""
         self.policy = self.voter.policy = self.candidate.policy = policy
 
-    def take_catalogue(self, catalogue: Catalogue) -> None:
+    def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Take the store's revision, which bounds forgotten tokens."""
         if catalogue.revision:
             wall_s = self.clock.now().timestamp()
@@ -113,23 +113,23 @@
 
     async def step(self) -> float:
         """Stand or renew; return how long to rest until the next look, in seconds."""
-        self.notice_sleep()
-        if self.may_return():
-            await self.canvass(is_return=True)
-            self.is_back = self.is_holder
-        elif self.should_stand():
-            await self.canvass()
-            self.after_canvass()
-            return RENEW_S
-        return RENEW_S / 4
-
-    def may_return(self) -> bool:
+        self.detect_suspension()
+        if self.can_reclaim_lease():
+            await self.run_election(is_return=True)
+            self.has_reclaimed_lease = self.is_holder
+        elif self.should_campaign():
+            await self.run_election()
+            self.back_off_after_split_vote()
+            return RENEW_INTERVAL_S
+        return RENEW_INTERVAL_S / 4
+
+    def can_reclaim_lease(self) -> bool:
         """Return whether voters may have kept their votes for this host's last start.
 
         It then asks for these before it has waited to know all hosts: one that has been
         up for longer has told it of them.
         """
-        since_start = self.clock.monotonic() - self.began
+        since_start = self.clock.monotonic() - self.process_started_at
         return (
             not self.candidate.is_holder
             and not self.voter.is_leaving
@@ -138,22 +138,22 @@
             and self.fleet.lease_holder() is None
         )
 
-    def notice_sleep(self) -> None:
+    def detect_suspension(self) -> None:
         """Look for the voters anew after this host was frozen.
 
         Hosts that were leaving when it fell asleep, and so no voters, may have come
         back and chosen another holder: alone in its own eyes, it ordered beside that.
         """
         now = self.clock.monotonic()
-        slept_since, self.stepped_at = self.stepped_at, now
-        if now - slept_since > SLEPT_LEASES * self.policy.lease:
-            log.warning("slept", extra={"for_s": (now - slept_since).total_seconds()})
-            self.is_back = False
+        previous_step_at, self.last_step_at = self.last_step_at, now
+        if now - previous_step_at > SUSPENDED_AFTER_LEASES * self.policy.lease:
+            log.warning("slept", extra={"for_s": (now - previous_step_at).total_seconds()})
+            self.has_reclaimed_lease = False
             self.fleet.rejoin()
 
-    def should_stand(self) -> bool:
+    def should_campaign(self) -> bool:
         """Return whether to ask for votes now."""
-        if self.is_resigned or not (self.fleet.has_joined() or self.is_back):
+        if self.has_resigned or not (self.fleet.has_joined() or self.has_reclaimed_lease):
             return False
         if self.candidate.is_holder:
             return True
@@ -167,70 +167,70 @@
             return False
         # The host that started last goes first: where hosts are restarted one after
         # the other, it is the one that stays.
-        mine = (round(self.fleet.up_s()), self.me)
-        place = sum(
+        own_rank = (round(self.fleet.up_s()), self.me)
+        earlier_candidates = sum(
             1
             for p in self.fleet.alive()
             if p.contact.data_centre == self.data_centre
-            and (round(self.fleet.up_of(p)), p.contact.host_id) < mine
+            and (round(self.fleet.up_of(p)), p.contact.host_id) < own_rank
         )
-        return now - self.no_holder_since >= seconds(CAMPAIGN_STEP_S * place)
+        return now - self.no_holder_since >= seconds(CAMPAIGN_STAGGER_S * earlier_candidates)
 
-    async def canvass(self, is_return: bool = False) -> None:
+    async def run_election(self, is_return: bool = False) -> None:
         """Ask all voters of the data centre at once, and again if a token was low."""
         voters = self.fleet.voters(self.policy.lease)
         if not self.candidate.is_holder:
             self.candidate.set_voters(voters)
-        await self.ask_all(voters, is_return)
+        await self.request_votes(voters, is_return)
         # A holder counts new voters once they were asked: between, it would lack votes.
         self.candidate.set_voters(voters)
         if self.candidate.must_ask_higher(self.clock.monotonic()):
-            await self.ask_all(voters, is_return)
+            await self.request_votes(voters, is_return)
 
-    async def ask_all(self, voters: Iterable[HostId], is_return: bool) -> None:
+    async def request_votes(self, voters: Iterable[HostId], is_return: bool) -> None:
         """Ask each voter once, and hosts that leave, which count no more."""
         ballot = self.candidate.ballot(self.data_centre, is_return)
         now = self.clock.monotonic()
-        own = self.voter.vote(ballot, now)
-        self.candidate.take(self.me, own, now, now)
-        others = sorted({*voters, *self.fleet.leaving()} - {self.me})
-        await asyncio.gather(*(self.ask_vote(v, ballot) for v in others))
+        own_vote = self.voter.vote(ballot, now)
+        self.candidate.take(self.me, own_vote, now, now)
+        peers_to_ask = sorted({*voters, *self.fleet.leaving()} - {self.me})
+        await asyncio.gather(*(self.request_vote(v, ballot) for v in peers_to_ask))
 
-    def after_canvass(self) -> None:
+    def back_off_after_split_vote(self) -> None:
         """Step back after a split vote, so that votes lapse and one can win."""
         now = self.clock.monotonic()
         self.candidate.refresh(now)
         if self.candidate.is_holder:
             return
         self.voter.withdraw(self.me, self.candidate.last_order_at, now)
-        spread_s = self.random.uniform(0, STEP_BACK_SPREAD_S)
+        spread_s = self.random.uniform(0, SPLIT_VOTE_BACKOFF_S)
         self.no_holder_since = now + self.policy.lease + seconds(spread_s)
 
-    async def ask_vote(self, voter: HostId, ballot: Ballot) -> None:
+    async def request_vote(self, voter: HostId, ballot: Ballot) -> None:
         """Ask one voter."""
         address = self.fleet.address_of(voter)
         if address is None:
             return
         asked_at = self.clock.monotonic()
-        answer = await self.peers.call(address, ballot, BALLOT_S)
-        if isinstance(answer, Success) and isinstance(answer.unwrap(), Vote):
+        reply = await self.peers.call(address, ballot, BALLOT_TIMEOUT_S)
+        if isinstance(reply, Success) and isinstance(reply.unwrap(), Vote):
             self.candidate.take(
-                voter, answer.unwrap(), asked_at, self.clock.monotonic()
+                voter, reply.unwrap(), asked_at, self.clock.monotonic()
             )
 
-    async def answer_ballot(self, ballot: Ballot) -> Vote:
+    async def handle_ballot(self, ballot: Ballot) -> Vote:
         """Answer a peer's ballot with this host's vote."""
         if ballot.data_centre != self.data_centre:
             return Vote(False, self.voter.holder, self.voter.highest_token, 0.0)
         return self.voter.vote(ballot, self.clock.monotonic())
 
-    async def answer_resign(self, message: Resign) -> Noted:
+    async def handle_resign(self, message: Resign) -> Noted:
         """Take a holder's resignation."""
         self.voter.resign(message, self.clock.monotonic())
         self.fleet.holds_no_more(message.holder)
         return Noted()
 
-    def lost(self) -> None:
+    def record_lease_lost(self) -> None:
         """Note that the lease was lost, so that another may stand first."""
         self.no_holder_since = self.clock.monotonic()
 
@@ -246,7 +246,7 @@
 
         Returns whether this host held it.
         """
-        self.is_resigned = True
+        self.has_resigned = True
         message = self.candidate.resign(self.data_centre, self.clock.monotonic())
         if message is None:
             return False
@@ -254,6 +254,6 @@
         addresses = [
             self.fleet.address_of(v) for v in self.fleet.voters(self.policy.lease)
         ]
-        calls = [self.peers.call(a, message, BALLOT_S) for a in addresses if a]
+        calls = [self.peers.call(a, message, BALLOT_TIMEOUT_S) for a in addresses if a]
         await asyncio.gather(*calls)
         return True
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -25,7 +25,7 @@
 from sardinequay_core.serving import EnginePool, Pool
 
 from .order_lease_task import OrderLeaseTask
-from .ordered_engine import OrderedEngine, subject_of
+from .ordered_engine import ManagedEngine, order_subject
 from .serving_messages import (
     AdapterMissing,
     EngineHoldings,
@@ -34,15 +34,15 @@
 )
 from .serving_metrics import ServingMetrics
 from .serving_ports import EngineOrders, OrderAccepted, OrderTerms
-from .wish_desk import WishDesk
+from .wish_desk import LoadRequestHandler
 
-LEASE_LOOK_S = 0.08
+LEASE_POLL_S = 0.08
 """How often an order that waits for the lease looks at it."""
 
-REPORT_PAUSE_S = 0.3
+REPORT_RETRY_PAUSE_S = 0.3
 """After an engine that gave no report, before it is asked again."""
 
-HOLDINGS_LIFE = seconds(0.05)
+HOLDINGS_MAX_AGE = seconds(0.05)
 """For how long what engines hold is told as it was written last. A hub tells dozens of
 hosts within one period, and writes it anew at once when an engine's book changes."""
 
@@ -50,20 +50,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeardHoldings:
+class ReceivedHoldings:
     """What another holder told of an engine, and when."""
 
     holdings: EngineHoldings
-    at: Instant
+    received_at: Instant
 
     def as_of(self, now: Instant) -> EngineHoldings:
         """Return it with times counted from now."""
-        coming = self.holdings.coming
-        if not coming:
+        ready_in_s = self.holdings.coming
+        if not ready_in_s:
             return self.holdings
-        gone_s = (now - self.at).total_seconds()
-        left = {a: max(0.0, in_s - gone_s) for a, in_s in coming.items()}
-        return replace(self.holdings, coming=left)
+        elapsed_s = (now - self.received_at).total_seconds()
+        remaining = {a: max(0.0, in_s - elapsed_s) for a, in_s in ready_in_s.items()}
+        return replace(self.holdings, coming=remaining)
 
 
 class OrderTask:
@@ -78,7 +78,7 @@
         clock: Clock,
         metrics: ServingMetrics,
         uses: AdapterUses,
-        told: Callable[[], None],
+        on_holdings_changed: Callable[[], None],
     ) -> None:
         self.me = me
         self.data_centre = data_centre
@@ -87,40 +87,40 @@
         self.clock = clock
         self.metrics = metrics
         self.uses = uses
-        self.told = told
+        self.on_holdings_changed = on_holdings_changed
         self.candidate = lease.candidate
         self.catalogue = Catalogue()
-        self.ordered: dict[TargetId, OrderedEngine] = {}
-        self.heard_holdings: dict[TargetId, HeardHoldings] = {}
+        self.managed_engines: dict[TargetId, ManagedEngine] = {}
+        self.peer_holdings: dict[TargetId, ReceivedHoldings] = {}
         self.is_ordering = False
-        self.written: tuple[EngineHoldings, ...] = ()
-        self.written_at = ZERO
-        self.wishes = WishDesk(self.ordered, lambda: self.orders_in_s, clock)
+        self.last_holdings: tuple[EngineHoldings, ...] = ()
+        self.last_holdings_at = ZERO
+        self.load_requests = LoadRequestHandler(self.managed_engines, lambda: self.orders_in_s, clock)
 
     @property
     def orders_in_s(self) -> float:
         """Return in how long orders may be given here, in seconds."""
-        return self.lease.orders_in_s if self.ordered else float("inf")
+        return self.lease.orders_in_s if self.managed_engines else float("inf")
 
     async def run(self) -> None:
         """Stand for the lease, and order engines while it is held, for good."""
         while True:
             rest_s = await self.lease.step()
-            self.follow_lease()
+            self.apply_lease_state()
             await asyncio.sleep(rest_s)
 
-    def follow_lease(self) -> None:
+    def apply_lease_state(self) -> None:
         """Begin or end to order, as the lease says."""
         is_holder = self.lease.is_holder
         if is_holder and not self.is_ordering:
-            self.take_over()
+            self.start_ordering()
         elif not is_holder and self.is_ordering:
             self.stop_ordering()
 
-    def take_over(self) -> None:
+    def start_ordering(self) -> None:
         """Open a book for each engine here."""
         self.is_ordering = True
-        targets = self.engines_here()
+        targets = self.local_engines()
         if targets:
             log.info(
                 "ordering engines",
@@ -131,16 +131,16 @@
                 },
             )
         for published in targets.values():
-            self.open_book(published)
+            self.add_engine(published)
 
     def stop_ordering(self) -> None:
         """Close all books; what waits is told so."""
         self.is_ordering = False
-        self.written_at = ZERO
+        self.last_holdings_at = ZERO
         log.info("ordering ended", extra={"token": self.candidate.token})
-        for target_id in tuple(self.ordered):
-            self.close_book(target_id)
-        self.lease.lost()
+        for target_id in tuple(self.managed_engines):
+            self.remove_engine(target_id)
+        self.lease.record_lease_lost()
 
     async def resign(self) -> None:
         """Stop ordering for good, and give the lease back."""
@@ -149,7 +149,7 @@
 
     # Books.
 
-    def engines_here(self) -> dict[TargetId, PublishedTarget]:
+    def local_engines(self) -> dict[TargetId, PublishedTarget]:
         """Return the live engines of this data centre."""
         config = self.catalogue.config
         if config is None:
@@ -163,35 +163,35 @@
             and p.target.presence is Presence.LIVE
         }
 
-    def take_catalogue(self, catalogue: Catalogue) -> None:
+    def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Follow engines that come and go."""
         self.catalogue = catalogue
-        self.lease.take_catalogue(catalogue)
-        for target_id in self.heard_holdings.keys() - catalogue.targets.keys():
-            del self.heard_holdings[target_id]
+        self.lease.apply_catalogue(catalogue)
+        for target_id in self.peer_holdings.keys() - catalogue.targets.keys():
+            del self.peer_holdings[target_id]
         if not self.is_ordering:
             return
-        here = self.engines_here()
-        for target_id in tuple(self.ordered):
+        here = self.local_engines()
+        for target_id in tuple(self.managed_engines):
             if target_id not in here:
-                self.close_book(target_id)
+                self.remove_engine(target_id)
         for target_id, published in here.items():
-            engine = self.ordered.get(target_id)
+            engine = self.managed_engines.get(target_id)
             if engine is None:
-                self.open_book(published)
-            elif engine.book.incarnation < published.incarnation:
-                self.reopen_book(engine, published)
+                self.add_engine(published)
+            elif engine.scheduler.incarnation < published.incarnation:
+                self.reset_scheduler(engine, published)
             else:
                 engine.published = published
                 engine.wake.set()
 
-    def reopen_book(self, engine: OrderedEngine, published: PublishedTarget) -> None:
+    def reset_scheduler(self, engine: ManagedEngine, published: PublishedTarget) -> None:
         """Begin anew with an engine that started again under its id.
 
         Nothing of the start before holds. Reports lag, so none is believed that may be
         older than an order of the start before that reached this one.
         """
-        old = engine.book
+        old = engine.scheduler
         log.info(
             "engine started again",
             extra={
@@ -201,75 +201,75 @@
             },
         )
         engine.published = published
-        engine.book = EngineBook(
+        engine.scheduler = EngineBook(
             old.target, old.places, published.incarnation, old.number + 1
         )
-        engine.book.in_doubt(self.clock.monotonic())
+        engine.scheduler.in_doubt(self.clock.monotonic())
         engine.wake.set()
 
-    def open_book(self, published: PublishedTarget) -> None:
+    def add_engine(self, published: PublishedTarget) -> None:
         """Begin to order one engine."""
         target_id = published.target.target_id
         config = self.catalogue.config
         pool = config.pools[published.target.pool].engines if config else None
-        if pool is None or target_id in self.ordered:
+        if pool is None or target_id in self.managed_engines:
             return
-        book = EngineBook(target_id, pool.adapter_slots, published.incarnation)
-        told = self.heard_holdings.get(target_id)
-        heard = told.holdings if told is not None else None
-        if heard is not None and heard.incarnation >= book.incarnation:
-            book.incarnation = heard.incarnation
-            book.times.inherit(parse_adapter_ref(t).unwrap() for t in heard.recent)
-        engine = self.ordered[target_id] = OrderedEngine(published, book)
-        engine.task = asyncio.create_task(self.order_engine(engine))
-
-    def close_book(self, target_id: TargetId) -> None:
+        scheduler = EngineBook(target_id, pool.adapter_slots, published.incarnation)
+        received = self.peer_holdings.get(target_id)
+        inherited = on_holdings_changed.holdings if received is not None else None
+        if inherited is not None and inherited.incarnation >= scheduler.incarnation:
+            scheduler.incarnation = inherited.incarnation
+            scheduler.times.inherit(parse_adapter_ref(t).unwrap() for t in inherited.recent)
+        engine = self.managed_engines[target_id] = ManagedEngine(published, scheduler)
+        engine.task = asyncio.create_task(self.run_scheduler(engine))
+
+    def remove_engine(self, target_id: TargetId) -> None:
         """Stop ordering one engine."""
-        engine = self.ordered.pop(target_id)
+        engine = self.managed_engines.pop(target_id)
         if engine.task is not None:
             engine.task.cancel()
-        for waiting in engine.ready.values():
+        for waiting in engine.load_waiters.values():
             for future in waiting:
                 future.cancel()
 
-    async def order_engine(self, engine: OrderedEngine) -> None:
+    async def run_scheduler(self, engine: ManagedEngine) -> None:
         """Carry out what one engine's book decides, for as long as it is open."""
         while True:
-            book = engine.book
+            scheduler = engine.scheduler
             now = self.clock.monotonic()
             engine.wake.clear()
-            self.fit_to_memory(engine)
-            step = book.next_step(self.uses.on(book.target), now)
-            engine.tell_ready()
+            self.refresh_scheduler_inputs(engine)
+            step = scheduler.next_step(self.uses.on(scheduler.target), now)
+            engine.resolve_load_waiters()
             if isinstance(step, Rest):
-                await self.rest(engine, step.for_s)
+                await self.wait_for_wake(engine, step.for_s)
             elif isinstance(step, AskReport):
-                await self.ask_report(engine)
+                await self.request_report(engine)
             elif self.candidate.may_order(now):
-                await self.give(engine, step)
+                await self.send_order(engine, step)
             else:
-                await self.rest(engine, LEASE_LOOK_S)
+                await self.wait_for_wake(engine, LEASE_POLL_S)
 
-    async def rest(self, engine: OrderedEngine, for_s: float) -> None:
+    async def wait_for_wake(self, engine: ManagedEngine, timeout_s: float) -> None:
         """Wait until something is to be done, or for a while."""
         try:
-            async with asyncio.timeout(for_s):
+            async with asyncio.timeout(timeout_s):
                 await engine.wake.wait()
         except TimeoutError:
             return
 
-    def fit_to_memory(self, engine: OrderedEngine) -> None:
+    def refresh_scheduler_inputs(self, engine: ManagedEngine) -> None:
         """Tell a book its places, and the model that it is to load if it has none."""
         config = self.catalogue.config
         pool = config.pools.get(engine.published.target.pool) if config else None
         if pool is None or pool.engines is None:
             return
-        engine.book.places = pool.engines.adapter_places(engine.book.models)
-        engine.book.model_wanted = None
-        if not engine.book.models and engine.book.orders is not None:
-            engine.book.model_wanted = self.rarest_model(pool, pool.engines)
+        engine.scheduler.places = pool.engines.adapter_places(engine.scheduler.models)
+        engine.scheduler.model_wanted = None
+        if not engine.scheduler.models and engine.scheduler.orders is not None:
+            engine.scheduler.model_wanted = self.least_replicated_model(pool, pool.engines)
 
-    def rarest_model(self, pool: Pool, engines: EnginePool) -> str | None:
+    def least_replicated_model(self, pool: Pool, engines: EnginePool) -> str | None:
         """Return the model that the fewest engines of a pool hold."""
         held = dict.fromkeys(engines.loadable(), 0)
         for other in self.catalogue.live(pool.name):
@@ -277,58 +277,58 @@
                 held[model] += 1
         return min(held, key=lambda m: (held[m], m), default=None)
 
-    async def ask_report(self, engine: OrderedEngine) -> None:
+    async def request_report(self, engine: ManagedEngine) -> None:
         """Ask for a report and enter it."""
         asked_at = self.clock.monotonic()
         report = await self.engines.report(engine.published.target)
         now = self.clock.monotonic()
         if isinstance(report, Success):
             status = report.unwrap()
-            if status.incarnation > engine.book.incarnation:
-                self.reopen_book(
+            if status.incarnation > engine.scheduler.incarnation:
+                self.reset_scheduler(
                     engine, replace(engine.published, incarnation=status.incarnation)
                 )
                 return
-            number = engine.book.number
-            engine.book.take_report(status, asked_at, now)
-            if engine.book.number != number:
+            number = engine.scheduler.number
+            engine.scheduler.take_report(status, asked_at, now)
+            if engine.scheduler.number != number:
                 self.log_holdings(engine, "report")
-                self.told()
+                self.on_holdings_changed()
             return
         detail = str(report.failure())
-        log.info("no report", extra={"target": engine.book.target, "detail": detail})
-        await self.rest(engine, REPORT_PAUSE_S)
+        log.info("no report", extra={"target": engine.scheduler.target, "detail": detail})
+        await self.wait_for_wake(engine, REPORT_RETRY_PAUSE_S)
 
-    async def give(self, engine: OrderedEngine, order: Order) -> None:
+    async def send_order(self, engine: ManagedEngine, order: Order) -> None:
         """Send one order and enter its result."""
-        book, target = engine.book, engine.published.target
-        expected = book.expected_orders(order)
+        scheduler, target = engine.scheduler, engine.published.target
+        expected = scheduler.expected_orders(order)
         terms = OrderTerms(self.me, self.candidate.token, expected)
         self.candidate.ordered(self.clock.monotonic())
         result = await self.engines.order(target, order, terms)
         now = self.clock.monotonic()
         self.candidate.ordered(now)
-        if book is not engine.book:
+        if scheduler is not engine.scheduler:
             # The engine has started again meanwhile: the order was the last start's.
-            self.note_order(engine, order, "void: the engine started again")
+            self.record_order(engine, order, "void: the engine started again")
             return
         if isinstance(result, Success):
             answer = result.unwrap()
             if isinstance(answer, OrderAccepted):
                 outcome = "held already" if answer.holds_already else "accepted"
-                book.accepted(order, answer.holds_already, now)
+                scheduler.accepted(order, answer.holds_already, now)
             else:
                 outcome = f"refused: {answer.detail}"
                 if answer.is_stale_token:
                     self.candidate.raise_token()
-                book.refused(order, now)
+                scheduler.refused(order, now)
         else:
             outcome = f"in doubt: {result.failure().detail}"
-            book.in_doubt(now)
-        self.note_order(engine, order, outcome)
-        self.told()
+            scheduler.in_doubt(now)
+        self.record_order(engine, order, outcome)
+        self.on_holdings_changed()
 
-    def note_order(self, engine: OrderedEngine, order: Order, outcome: str) -> None:
+    def record_order(self, engine: ManagedEngine, order: Order, outcome: str) -> None:
         """Log and count one order."""
         kind = type(order).__name__
         result = outcome.partition(":")[0]
@@ -336,53 +336,53 @@
         log.info(
             "order",
             extra={
-                "target": engine.book.target,
+                "target": engine.scheduler.target,
                 "kind": kind,
-                "subject": subject_of(order),
+                "subject": order_subject(order),
                 "token": self.candidate.token,
-                "resident": [str(a) for a in engine.book.residents()],
-                "in_use": len(self.uses.on(engine.book.target)),
-                "coming": len(engine.book.coming),
-                "wanted": len(engine.book.wanted),
+                "resident": [str(a) for a in engine.scheduler.residents()],
+                "in_use": len(self.uses.on(engine.scheduler.target)),
+                "coming": len(engine.scheduler.coming),
+                "wanted": len(engine.scheduler.wanted),
                 "outcome": outcome,
             },
         )
 
-    def log_holdings(self, engine: OrderedEngine, source: str) -> None:
+    def log_holdings(self, engine: ManagedEngine, source: str) -> None:
         """Log what an engine is now believed to hold."""
         log.info(
             "engine holds",
             extra={
-                "target": engine.book.target,
+                "target": engine.scheduler.target,
                 "source": source,
-                "resident": [str(a) for a in engine.book.residents()],
+                "resident": [str(a) for a in engine.scheduler.residents()],
             },
         )
 
-    async def answer_telling(self, message: AdapterMissing | UseChanged) -> Noted:
+    async def handle_adapter_event(self, message: AdapterMissing | UseChanged) -> Noted:
         """Take what a host tells of an adapter on an engine ordered here."""
         if isinstance(message, UseChanged):
             use = message.use
             target_id = use.target
             if message.host_id != self.me:
-                self.hear_use(message)
+                self.record_peer_use(message)
         else:
             target_id = message.target
-        engine = self.ordered.get(target_id)
+        engine = self.managed_engines.get(target_id)
         if engine is None:
             return Noted()
         if isinstance(message, AdapterMissing):
-            if message.incarnation < engine.book.incarnation:
+            if message.incarnation < engine.scheduler.incarnation:
                 return Noted()
-            engine.book.missing(message.adapter, self.clock.monotonic())
+            engine.scheduler.missing(message.adapter, self.clock.monotonic())
         elif message.use.count:
-            engine.book.begin_use(message.use.adapter, self.clock.monotonic())
+            engine.scheduler.begin_use(message.use.adapter, self.clock.monotonic())
         else:
-            engine.book.use({message.use.adapter: 1}, self.clock.monotonic())
+            engine.scheduler.use({message.use.adapter: 1}, self.clock.monotonic())
         engine.wake.set()
         return Noted()
 
-    def hear_use(self, message: UseChanged) -> None:
+    def record_peer_use(self, message: UseChanged) -> None:
         """Take that a peer began or ended to use an adapter.
 
         The use of a host elsewhere may be counted by its hub already.
@@ -399,44 +399,44 @@
 
     def recent_holdings(self) -> tuple[EngineHoldings, ...]:
         """Return what `holdings` did, now or a moment ago."""
-        if self.clock.monotonic() - self.written_at > HOLDINGS_LIFE:
-            return self.holdings()
-        return self.written
+        if self.clock.monotonic() - self.last_holdings_at > HOLDINGS_MAX_AGE:
+            return self.holdings_snapshot()
+        return self.last_holdings
 
-    def holdings(self) -> tuple[EngineHoldings, ...]:
+    def holdings_snapshot(self) -> tuple[EngineHoldings, ...]:
         """Return what to tell peers of the engines ordered here."""
         now = self.clock.monotonic()
-        self.written_at = now
-        self.written = tuple(
+        self.last_holdings_at = now
+        self.last_holdings = tuple(
             EngineHoldings(
-                e.book.target,
+                e.scheduler.target,
                 self.candidate.token,
-                e.book.number,
-                e.book.residents(),
+                e.scheduler.number,
+                e.scheduler.residents(),
                 {
-                    str(a): e.book.ready_in_s(a, now) or 0.0
-                    for a in sorted(e.book.coming)
+                    str(a): e.scheduler.ready_in_s(a, now) or 0.0
+                    for a in sorted(e.scheduler.coming)
                 },
-                tuple(str(a) for a in e.book.times.recent),
-                len(e.book.wanted),
-                e.book.times.turnover_s,
-                e.book.incarnation,
-                self.uses.idle_among(e.book.target, e.book.residents()),
+                tuple(str(a) for a in e.scheduler.times.recent),
+                len(e.scheduler.wanted),
+                e.scheduler.times.turnover_s,
+                e.scheduler.incarnation,
+                self.uses.idle_among(e.scheduler.target, e.scheduler.residents()),
             )
-            for e in self.ordered.values()
-            if e.book.orders is not None or e.book.number
+            for e in self.managed_engines.values()
+            if e.scheduler.orders is not None or e.scheduler.number
         )
-        return self.written
+        return self.last_holdings
 
-    def hear_holdings(self, holdings: EngineHoldings) -> None:
+    def record_peer_holdings(self, holdings: EngineHoldings) -> None:
         """Remember what another holder tells, to go on from it, and to pass it on."""
         now = self.clock.monotonic()
-        self.heard_holdings[holdings.target] = HeardHoldings(holdings, now)
+        self.peer_holdings[holdings.target] = ReceivedHoldings(holdings, now)
 
-    def holdings_elsewhere(self, now: Instant) -> tuple[EngineHoldings, ...]:
+    def peer_holdings_snapshot(self, now: Instant) -> tuple[EngineHoldings, ...]:
         """Return what other holders told of engines that this host does not order."""
         return tuple(
             heard.as_of(now)
-            for target, heard in self.heard_holdings.items()
-            if target not in self.ordered
+            for target, heard in self.peer_holdings.items()
+            if target not in self.managed_engines
         )
--- a/packages/daemon/src/sardinequay_daemon/ordered_engine.py
+++ b/packages/daemon/src/sardinequay_daemon/ordered_engine.py
@@ -10,40 +10,40 @@
 
 
 @dataclass(slots=True)
-class OrderedEngine:
+class ManagedEngine:
     """An engine that this host orders: its book, and the task that carries it out."""
 
     published: PublishedTarget
-    book: EngineBook
+    scheduler: EngineBook
     wake: asyncio.Event = field(default_factory=asyncio.Event)
-    ready: dict[AdapterRef, list[asyncio.Future[None]]] = field(default_factory=dict)
+    load_waiters: dict[AdapterRef, list[asyncio.Future[None]]] = field(default_factory=dict)
     task: asyncio.Task[None] | None = None
 
-    def wait_for(self, adapter: AdapterRef) -> asyncio.Future[None]:
+    def add_load_waiter(self, adapter: AdapterRef) -> asyncio.Future[None]:
         """Return what is done when an adapter is there, and cancelled with the book."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.ready.setdefault(adapter, []).append(future)
+        self.load_waiters.setdefault(adapter, []).append(future)
         return future
 
-    def drop_waiter(self, adapter: AdapterRef, future: asyncio.Future[None]) -> None:
+    def remove_load_waiter(self, adapter: AdapterRef, future: asyncio.Future[None]) -> None:
         """Forget one that waits for an adapter."""
-        waiting = self.ready.get(adapter, [])
+        waiting = self.load_waiters.get(adapter, [])
         if future in waiting:
             waiting.remove(future)
         if not waiting:
-            self.ready.pop(adapter, None)
+            self.load_waiters.pop(adapter, None)
 
-    def tell_ready(self) -> None:
+    def resolve_load_waiters(self) -> None:
         """Answer those whose adapter is there."""
-        for adapter in tuple(self.ready):
-            if not self.book.is_ready(adapter):
+        for adapter in tuple(self.load_waiters):
+            if not self.scheduler.is_ready(adapter):
                 continue
-            for future in self.ready.pop(adapter):
+            for future in self.load_waiters.pop(adapter):
                 if not future.done():
                     future.set_result(None)
 
 
-def subject_of(order: Order) -> str:
+def order_subject(order: Order) -> str:
     """Return what an order is about."""
     if isinstance(order, LoadModel):
         return order.model
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -199,7 +199,7 @@
             holdings.idle,
         )
         if self.residency.hear(holdings.target, held) and self.orders is not None:
-            self.orders.hear_holdings(holdings)
+            self.orders.record_peer_holdings(holdings)
 
     def lose_peer(self, host_id: HostId) -> None:
         """Drop the share of a peer that is gone."""
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -104,7 +104,7 @@
         random: Random,
         tracing: Tracing,
         output: BoundedOutput,
-        began: Instant,
+        process_started_at: Instant,
     ) -> None:
         self.profile = deployment.profile
         self.deployment = deployment
@@ -142,7 +142,7 @@
             random,
             bounds.repeats,
             self.fleet,
-            slack_from=ZERO if profile.is_first_start else began + SLACK_AFTER,
+            slack_from=ZERO if profile.is_first_start else process_started_at + SLACK_AFTER,
         )
         self.state.quotas.take_policy(bounds.quotas)
         self.state.health.turn = turn_of(profile.host_id)
@@ -155,7 +155,7 @@
             random,
             order_policy,
             profile.is_first_start,
-            began,
+            process_started_at,
         )
         self.orders = OrderTask(
             profile.host_id,
@@ -218,7 +218,7 @@
     def connect(self) -> None:
         """Say which task hears of which change, and who answers which message."""
         self.store.catalogues.subscribe(self.state.take_catalogue)
-        self.store.catalogues.subscribe(self.orders.take_catalogue)
+        self.store.catalogues.subscribe(self.orders.apply_catalogue)
         self.store.catalogues.subscribe(self.tell_catalogue)
         self.store.catalogues.subscribe(self.guard.take_catalogue)
         self.fleet.digests.subscribe(self.state.take_digest)
@@ -234,11 +234,11 @@
         server.register(AskPermit, self.guard.answer_ask)
         server.register(PermitBack, self.guard.answer_back)
         server.register(FetchItems, self.store.answer_fetch)
-        server.register(Ballot, self.lease.answer_ballot)
-        server.register(Resign, self.lease.answer_resign)
-        server.register(WantAdapter, self.orders.wishes.answer)
-        server.register(AdapterMissing, self.orders.answer_telling)
-        server.register(UseChanged, self.orders.answer_telling)
+        server.register(Ballot, self.lease.handle_ballot)
+        server.register(Resign, self.lease.handle_resign)
+        server.register(WantAdapter, self.orders.load_requests.handle)
+        server.register(AdapterMissing, self.orders.handle_adapter_event)
+        server.register(UseChanged, self.orders.handle_adapter_event)
 
     def take_profile(self, profile: HostProfile) -> None:
         """Take settings that changed: seeds and bounds; addresses stay."""
@@ -246,7 +246,7 @@
         self.fleet.set_seeds(profile.seeds)
         self.state.take_repeat_policy(profile.bounds.repeats)
         self.state.quotas.take_policy(profile.bounds.quotas)
-        self.lease.take_policy(OrderPolicy(quiet=profile.bounds.order_quiet))
+        self.lease.apply_policy(OrderPolicy(quiet=profile.bounds.order_quiet))
         log.info("settings reloaded", extra={"seeds": [str(s) for s in profile.seeds]})
 
     # Digests.
@@ -258,7 +258,7 @@
     def tell_holdings(self) -> None:
         """Let this host and its peers know what engines hold now."""
         now = self.clock.monotonic()
-        for holdings in self.orders.holdings():
+        for holdings in self.orders.holdings_snapshot():
             self.state.hear_holdings(holdings, now)
         self.fleet.tell_soon(far=True)
 
@@ -396,17 +396,17 @@
 
     async def drain(self) -> None:
         """Become unready, hand over, and let requests in flight finish."""
-        began = self.clock.monotonic()
+        process_started_at = self.clock.monotonic()
         grace_s = self.profile.bounds.grace.total_seconds() * LAST_SHARE
         log.info("stopping", extra={"in_flight": self.server.in_flight})
         self.is_stopping = True
         self.lease.begin_leaving()
         self.fleet.leave()
         await asyncio.sleep(min(KEEP_ACCEPTING_S, grace_s / 2))
-        self.server.stops_at = began + seconds(grace_s)
+        self.server.stops_at = process_started_at + seconds(grace_s)
         self.server.is_closing = True
         while self.server.in_flight or self.open_connections():
-            taken_s = (self.clock.monotonic() - began).total_seconds()
+            taken_s = (self.clock.monotonic() - process_started_at).total_seconds()
             if taken_s > grace_s - RESIGN_AHEAD_S:
                 await self.orders.resign()
             if taken_s > grace_s:
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -110,7 +110,7 @@
         In a large fleet only the host that orders an engine knows all its uses.
         """
         is_mine = (
-            self.state.orders is not None and target_id in self.state.orders.ordered
+            self.state.orders is not None and target_id in self.state.orders.managed_engines
         )
         if held.idle is not None and not is_mine and not self.state.fleet.is_mesh:
             return held.idle
--- a/packages/daemon/src/sardinequay_daemon/wants.py
+++ b/packages/daemon/src/sardinequay_daemon/wants.py
@@ -38,7 +38,7 @@
         if keeper is None or orders is None:
             return WantReply(False, "nobody orders the engine")
         if keeper.is_self:
-            return await orders.wishes.answer(message)
+            return await orders.load_requests.handle(message)
         address = self.state.fleet.address_of(keeper.host_id)
         if address is None:
             return WantReply(False, "nobody orders the engine")
@@ -82,7 +82,7 @@
         if keeper is None:
             return
         if keeper.is_self:
-            await orders.answer_telling(message)
+            await orders.handle_adapter_event(message)
             return
         address = self.state.fleet.address_of(keeper.host_id)
         if address is not None:
--- a/packages/daemon/src/sardinequay_daemon/wish_desk.py
+++ b/packages/daemon/src/sardinequay_daemon/wish_desk.py
@@ -8,13 +8,13 @@
 from sardinequay_core.engine_orders import Waiter
 from sardinequay_core.names import AdapterRef, TargetId
 
-from .ordered_engine import OrderedEngine
+from .ordered_engine import ManagedEngine
 from .serving_messages import WantAdapter, WantReply
 
 NEVER_S = float("inf")
 
 
-class WishDesk:
+class LoadRequestHandler:
     """Enters wishes in engines' books, and answers when they are met or must look on.
 
     Parameters
@@ -27,66 +27,66 @@
 
     def __init__(
         self,
-        ordered: Mapping[TargetId, OrderedEngine],
-        opens_in_s: Callable[[], float],
+        managed_engines: Mapping[TargetId, ManagedEngine],
+        orders_in_s: Callable[[], float],
         clock: Clock,
     ) -> None:
-        self.ordered = ordered
-        self.opens_in_s = opens_in_s
+        self.managed_engines = managed_engines
+        self.orders_in_s = orders_in_s
         self.clock = clock
 
-    async def answer(self, message: WantAdapter) -> WantReply:
+    async def handle(self, message: WantAdapter) -> WantReply:
         """Have an adapter loaded, and answer when requests can use it."""
-        engine = self.ordered.get(message.target)
+        engine = self.managed_engines.get(message.target)
         now = self.clock.monotonic()
-        opens_in_s = self.opens_in_s()
-        if engine is None or opens_in_s == NEVER_S:
+        orders_in_s = self.orders_in_s()
+        if engine is None or orders_in_s == NEVER_S:
             return WantReply(False, "not ordered here")
-        book, adapter = engine.book, message.adapter
-        book.settle(now)
-        if book.is_ready(adapter):
+        scheduler, adapter = engine.scheduler, message.adapter
+        scheduler.settle(now)
+        if scheduler.is_ready(adapter):
             return WantReply(True, "resident")
-        until = now + seconds(message.wait_s)
+        deadline = now + seconds(message.wait_s)
         goal_at = now + seconds(message.goal_s)
         since = now - seconds(message.waited_s)
-        waiter = Waiter(message.worth, goal_at, until, since)
-        expected_s = opens_in_s + book.expected_wait_s(adapter, waiter, now)
+        waiter = Waiter(message.worth, goal_at, deadline, since)
+        expected_s = orders_in_s + scheduler.expected_wait_s(adapter, waiter, now)
         if expected_s > message.wait_s:
             return WantReply(False, "expected too late", expected_s)
-        return await self.wait(engine, message, waiter)
+        return await self.wait_until_loaded(engine, message, waiter)
 
-    async def wait(
-        self, engine: OrderedEngine, message: WantAdapter, waiter: Waiter
+    async def wait_until_loaded(
+        self, engine: ManagedEngine, message: WantAdapter, waiter: Waiter
     ) -> WantReply:
         """Wait until an adapter is there, or until the request is to look again."""
-        book, adapter = engine.book, message.adapter
+        scheduler, adapter = engine.scheduler, message.adapter
         ticket = 0
-        if adapter not in book.coming:
-            ticket = book.want(adapter, waiter)
-        future = engine.wait_for(adapter)
+        if adapter not in scheduler.coming:
+            ticket = scheduler.want(adapter, waiter)
+        future = engine.add_load_waiter(adapter)
         engine.wake.set()
         try:
             async with asyncio.timeout(min(message.wait_s, message.look_s)):
                 await future
             return WantReply(True, "loaded")
         except TimeoutError:
-            book.cancel(adapter, ticket)
-            return self.still_queued(book, adapter, waiter)
+            scheduler.cancel(adapter, ticket)
+            return self.queued_reply(scheduler, adapter, waiter)
         except asyncio.CancelledError:
-            if future.cancelled() and message.target not in self.ordered:
+            if future.cancelled() and message.target not in self.managed_engines:
                 return WantReply(False, "ordering ended")
             raise
         finally:
-            book.cancel(adapter, ticket)
-            engine.drop_waiter(adapter, future)
+            scheduler.cancel(adapter, ticket)
+            engine.remove_load_waiter(adapter, future)
 
-    def still_queued(
-        self, book: EngineBook, adapter: AdapterRef, waiter: Waiter
+    def queued_reply(
+        self, scheduler: EngineBook, adapter: AdapterRef, waiter: Waiter
     ) -> WantReply:
         """Return how long a request that has waited would still wait."""
-        opens_in_s = self.opens_in_s()
-        if opens_in_s == NEVER_S:
+        orders_in_s = self.orders_in_s()
+        if orders_in_s == NEVER_S:
             return WantReply(False, "ordering ended")
         now = self.clock.monotonic()
-        expected_s = opens_in_s + book.expected_wait_s(adapter, waiter, now)
+        expected_s = orders_in_s + scheduler.expected_wait_s(adapter, waiter, now)
         return WantReply(False, "queued", expected_s, is_queued=True)
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -95,7 +95,7 @@
     def recent_holdings(self) -> tuple[EngineHoldings, ...]:
         return self.told
 
-    def holdings_elsewhere(self, _) -> tuple[EngineHoldings, ...]:
+    def peer_holdings_snapshot(self, _) -> tuple[EngineHoldings, ...]:
         return tuple(self.heard.values())
 
     def hear_holdings(self, holdings: EngineHoldings) -> None:
--- a/packages/daemon/tests/test_order_lease_task.py
+++ b/packages/daemon/tests/test_order_lease_task.py
@@ -49,11 +49,11 @@
 
 
 def started(clock: TurnedClock, imports_s: float, is_first_start: bool):
-    began = clock.monotonic()
+    process_started_at = clock.monotonic()
     clock.turn(imports_s)
     me = HostId("h1")
     made = OrderLeaseTask(
-        me, "za", None, Fleet(), clock, Random(1), POLICY, is_first_start, began
+        me, "za", None, Fleet(), clock, Random(1), POLICY, is_first_start, process_started_at
     )
     made.voter.learn_revision(1, 0.0)
     return made
@@ -94,7 +94,7 @@
         clock.monotonic(),
     )
     task.newest_revision = lambda: 80
-    task.take_catalogue(Catalogue(revision=50))
+    task.apply_catalogue(Catalogue(revision=50))
     assert task.voter.highest_token >= token_bound(80, 0.0)
 
 
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -30,7 +30,7 @@
     make_config,
 )
 from sardinequay_daemon.order_task import OrderTask
-from sardinequay_daemon.ordered_engine import OrderedEngine
+from sardinequay_daemon.ordered_engine import ManagedEngine
 from sardinequay_daemon.serving_messages import AdapterMissing
 from sardinequay_daemon.serving_metrics import ServingMetrics
 from sardinequay_daemon.serving_ports import OrderAccepted
@@ -48,10 +48,10 @@
         self.candidate = Candidate(HostId("h1"), OrderPolicy(), is_holder=True)
         self.orders_in_s = 0.0
 
-    def lost(self) -> None:
+    def record_lease_lost(self) -> None:
         pass
 
-    def take_catalogue(self, catalogue: Catalogue) -> None:
+    def apply_catalogue(self, catalogue: Catalogue) -> None:
         pass
 
 
@@ -116,61 +116,61 @@
     )
     made.catalogue = catalogue(FIRST)
     made.is_ordering = True
-    book = EngineBook(E, 2, FIRST)
-    book.take_report(holding(FIRST, A), clock.monotonic(), clock.monotonic())
-    made.ordered[E] = OrderedEngine(published(FIRST), book)
+    scheduler = EngineBook(E, 2, FIRST)
+    scheduler.take_report(holding(FIRST, A), clock.monotonic(), clock.monotonic())
+    made.managed_engines[E] = ManagedEngine(published(FIRST), scheduler)
     return made
 
 
 def test_listing_of_a_later_start_opens_another_book(task: OrderTask, clock) -> None:
-    number = task.ordered[E].book.number
-    task.take_catalogue(catalogue(SECOND))
-    book = task.ordered[E].book
-    assert book.incarnation == SECOND
-    assert not book.residents()
-    assert book.orders is None
-    assert book.number > number
+    number = task.managed_engines[E].scheduler.number
+    task.apply_catalogue(catalogue(SECOND))
+    scheduler = task.managed_engines[E].scheduler
+    assert scheduler.incarnation == SECOND
+    assert not scheduler.residents()
+    assert scheduler.orders is None
+    assert scheduler.number > number
 
 
 def test_listing_of_an_earlier_start_changes_nothing(task: OrderTask) -> None:
-    task.ordered[E].book.incarnation = SECOND
-    task.take_catalogue(catalogue(FIRST))
-    assert task.ordered[E].book.residents() == (A,)
+    task.managed_engines[E].scheduler.incarnation = SECOND
+    task.apply_catalogue(catalogue(FIRST))
+    assert task.managed_engines[E].scheduler.residents() == (A,)
 
 
 async def test_report_of_a_later_start_opens_another_book(
     task: OrderTask, engines
 ) -> None:
     engines.status = holding(SECOND)
-    await task.ask_report(task.ordered[E])
-    assert task.ordered[E].book.incarnation == SECOND
-    assert not task.ordered[E].book.residents()
+    await task.request_report(task.managed_engines[E])
+    assert task.managed_engines[E].scheduler.incarnation == SECOND
+    assert not task.managed_engines[E].scheduler.residents()
 
 
 async def test_order_meant_for_the_start_before_is_not_counted(
     task: OrderTask, engines
 ) -> None:
-    engine = task.ordered[E]
-    giving = asyncio.create_task(task.give(engine, LoadAdapter(AdapterRef("m/b", "1"))))
+    engine = task.managed_engines[E]
+    giving = asyncio.create_task(task.send_order(engine, LoadAdapter(AdapterRef("m/b", "1"))))
     await asyncio.sleep(0)
-    task.take_catalogue(catalogue(SECOND))
+    task.apply_catalogue(catalogue(SECOND))
     engines.may_answer.set()
     await giving
-    assert not engine.book.coming
-    assert engine.book.orders is None
+    assert not engine.scheduler.coming
+    assert engine.scheduler.orders is None
 
 
 async def test_denial_of_the_start_before_is_not_believed(task: OrderTask) -> None:
-    book = task.ordered[E].book
+    scheduler = task.managed_engines[E].scheduler
     later = replace(published(SECOND), incarnation=SECOND)
-    task.reopen_book(task.ordered[E], later)
-    book = task.ordered[E].book
+    task.reset_scheduler(task.managed_engines[E], later)
+    scheduler = task.managed_engines[E].scheduler
     now = task.clock.monotonic() + seconds(9)
-    book.take_report(holding(SECOND, A), now, now)
-    await task.answer_telling(AdapterMissing(E, A, FIRST))
-    assert book.residents() == (A,)
-    await task.answer_telling(AdapterMissing(E, A, SECOND))
-    assert book.residents() == ()
+    scheduler.take_report(holding(SECOND, A), now, now)
+    await task.handle_adapter_event(AdapterMissing(E, A, FIRST))
+    assert scheduler.residents() == (A,)
+    await task.handle_adapter_event(AdapterMissing(E, A, SECOND))
+    assert scheduler.residents() == ()
 
 
 def test_what_engines_hold_is_written_once_for_many_hosts(
@@ -185,9 +185,9 @@
 
 def test_a_change_is_told_at_once(task: OrderTask, clock) -> None:
     task.recent_holdings()
-    task.take_catalogue(catalogue(SECOND))
-    written = task.holdings()
-    assert task.recent_holdings() is written
-    assert not written[0].adapters
+    task.apply_catalogue(catalogue(SECOND))
+    latest = task.holdings_snapshot()
+    assert task.recent_holdings() is latest
+    assert not latest[0].adapters
     task.stop_ordering()
     assert not task.recent_holdings()
