--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -57,39 +57,39 @@
         self.journal = journal
         self.tracing = tracing
         self.roster = EMPTY_ROSTER
-        self.learned: dict[DataCentre, View] = {}
+        self.learned_views: dict[DataCentre, View] = {}
         self.sending: set[asyncio.Task[None]] = set()
 
-    def take_roster(self, roster: Roster) -> None:
+    def apply_roster(self, roster: Roster) -> None:
         """Take the latest list, from which the views follow."""
         self.roster = roster
 
-    def view(self, data_centre: DataCentre) -> View:
+    def latest_view(self, data_centre: DataCentre) -> View:
         """Return the latest view known of a data centre's guards."""
         listed = view_of(self.roster, data_centre)
-        learned = self.learned.get(data_centre, listed)
+        learned = self.learned_views.get(data_centre, listed)
         return max(listed, learned, key=lambda view: view.number)
 
     @asynccontextmanager
-    async def guarded(
+    async def hold_claim(
         self, envelope: Envelope, progress: Progress, parent: Span
     ) -> AsyncIterator[None]:
         """Hold a request's key while it runs; raises `Refused` if it is not won."""
-        won = await self.claim_for(envelope, parent)
+        won = await self.claim_request_key(envelope, parent)
         ran = False
         try:
             yield
             ran = True
         finally:
             if won is not None:
-                self.settle(won, Outcome.RAN if ran else progress.outcome)
+                self.settle_claim(won, Outcome.RAN if ran else progress.outcome)
 
-    async def claim_for(self, envelope: Envelope, parent: Span) -> WonClaim | None:
+    async def claim_request_key(self, envelope: Envelope, parent: Span) -> WonClaim | None:
         """Claim a request's key; one without a key may be repeated and holds none."""
         if not envelope.key:
             return None
         with self.tracing.child_span("claim", parent):
-            won = await self.claim(
+            won = await self.claim_key(
                 envelope.key, envelope.caller.name, envelope.deadline
             )
         if not isinstance(won, Success):
@@ -98,80 +98,80 @@
         claim: WonClaim = won.unwrap()
         return claim
 
-    async def claim(
+    async def claim_key(
         self, key: str, caller: str, deadline: Instant
     ) -> Result[WonClaim, Refusal]:
         """Claim a caller's key for a new attempt, before the deadline."""
         home = home_of(key, self.data_centres)
         attempt = AttemptId(uuid.uuid4().hex)
-        own_key = f"{caller}/{key}"
-        end = min(deadline, self.clock.monotonic() + self.policy.window)
+        caller_key = f"{caller}/{key}"
+        round_deadline = min(deadline, self.clock.monotonic() + self.policy.window)
         while True:
-            round_ = await self.vote(self.view(home), own_key, attempt)
+            round_ = await self.request_votes(self.latest_view(home), caller_key, attempt)
             standing = round_.standing(self.clock.monotonic())
-            self.learn(round_)
+            self.record_later_view(round_)
             if standing is Standing.WON:
                 self.metrics.claims.inc({"standing": "won"})
                 return Success(WonClaim(round_))
-            if standing is Standing.HELD or self.clock.monotonic() >= end:
+            if standing is Standing.HELD or self.clock.monotonic() >= round_deadline:
                 self.metrics.claims.inc({"standing": standing.value})
-                self.send(round_.release(), round_.view)
-                return Failure(refusal_of(round_, standing))
+                self.send_settle(round_.release(), round_.view)
+                return Failure(claim_refusal(round_, standing))
             await asyncio.sleep(ROUND_PAUSE_S)
 
-    def learn(self, round_: ClaimRound) -> None:
+    def record_later_view(self, round_: ClaimRound) -> None:
         """Remember a later view that a guard named."""
         later = round_.later_view()
         if later is not None:
-            self.learned[later.data_centre] = later
+            self.learned_views[later.data_centre] = later
 
-    async def vote(self, view: View, key: str, attempt: AttemptId) -> ClaimRound:
+    async def request_votes(self, view: View, key: str, attempt: AttemptId) -> ClaimRound:
         """Ask all guards at once, and stop when the votes decide."""
         round_ = ClaimRound(view, key, attempt, self.clock.monotonic(), self.policy)
         if not view.guards:
             return round_
         window_s = self.policy.window.total_seconds()
-        asks = [
-            asyncio.create_task(self.ask(round_, guard, window_s))
+        vote_requests = [
+            asyncio.create_task(self.request_vote(round_, guard, window_s))
             for guard in view.guards
         ]
-        for done in asyncio.as_completed(asks):
+        for done in asyncio.as_completed(vote_requests):
             await done
             if round_.standing(self.clock.monotonic()) is not Standing.OPEN:
                 break
         return round_
 
-    async def ask(
+    async def request_vote(
         self, round_: ClaimRound, guard: GuardAddress, timeout_s: float
     ) -> None:
         """Ask one guard for its vote."""
-        answer = await self.peers.call(guard.address, round_.request(), timeout_s)
-        vote = answer.value_or(None)
+        reply = await self.peers.call(guard.address, round_.request(), timeout_s)
+        vote = reply.value_or(None)
         if isinstance(vote, ClaimVote):
             round_.take(guard.host_id, vote)
         else:
             round_.take_silence(guard.host_id)
 
-    def settle(self, claim: WonClaim, outcome: Outcome) -> None:
+    def settle_claim(self, claim: WonClaim, outcome: Outcome) -> None:
         """Tell the guards what became of a claimed request.
 
         NOT_RUN gives the key back, so it must be certain and final.
         """
-        self.send(claim.round.settle(outcome), claim.round.view)
+        self.send_settle(claim.round.settle(outcome), claim.round.view)
 
-    def send(self, message: Settle, view: View) -> None:
+    def send_settle(self, message: Settle, view: View) -> None:
         """Tell all guards without waiting; one that misses it lets the claim expire."""
         for guard in view.guards:
-            task = asyncio.create_task(self.tell(guard, message))
+            task = asyncio.create_task(self.send_settle_to(guard, message))
             self.sending.add(task)
             task.add_done_callback(self.sending.discard)
 
-    async def tell(self, guard: GuardAddress, message: Settle) -> None:
+    async def send_settle_to(self, guard: GuardAddress, message: Settle) -> None:
         """Tell one guard."""
         await self.peers.call(guard.address, message)
 
 
-def refusal_of(round_: ClaimRound, standing: Standing) -> Refusal:
+def claim_refusal(round_: ClaimRound, standing: Standing) -> Refusal:
     """Return the answer to a request whose key was not won."""
     if standing is not Standing.HELD:
         message = "the key's guards cannot be reached; the request was not started"
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -164,7 +164,7 @@
         bool
             Whether it is known to live.
         """
-        verdict, run.verdict = run.verdict, None
+        verdict, run.target_end_check = run.target_end_check, None
         if verdict is None:
             return True
         known, _ = await asyncio.wait((verdict,), timeout=max(0.0, within_s))
@@ -178,7 +178,7 @@
         broken = BrokenRequest(
             run.request_id, run.content, target, incarnation, ran_s, now
         )
-        run.verdict = self.start(self.learn(broken))
+        run.target_end_check = self.start(self.learn(broken))
 
     async def learn(self, broken: BrokenRequest) -> bool:
         """Find out whether the target ended, and count that against the content."""
@@ -254,8 +254,8 @@
 
     async def give_back(self, run: GuardedRun) -> None:
         """Give a permit back, with what the run showed."""
-        if run.verdict is not None:
-            await asyncio.wait((run.verdict,))
+        if run.target_end_check is not None:
+            await asyncio.wait((run.target_end_check,))
         content, permit = run.content, run.permit
         self.permits.give_back(content, permit)
         giver = self.giver(content)
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -23,11 +23,11 @@
 from .caller_requests import ModelRequest, guarded_run
 from .claimer import Claimer
 from .content_guard import PROBE_WAIT_S, ContentGuard
-from .engines import EngineRequest, HttpEngines, events_of
+from .engine_client import EngineRequest, HttpEngineClient, read_events
 from .errors import TargetError, TargetFault
 from .guarded_run import GuardedRun
 from .journal import Journal
-from .lease_task import LeaseTask
+from .use_lease_task import UseLeaseTask
 from .metrics import Metrics
 from .progress import Progress, Refused, too_late
 from .server_sent_events import Events
@@ -58,7 +58,7 @@
 class EngineRun:
     """One run of a request on one engine, whose stream can be opened again."""
 
-    engines: HttpEngines
+    engines: HttpEngineClient
     address: Address
     request_id: str
     request: ModelRequest
@@ -81,19 +81,19 @@
             headers,
             fresh_connection=bool(self.request.envelope.key),
         )
-        async with self.engines.start(self.address, message) as answer:
+        async with self.engines.send_request(self.address, message) as answer:
             ran = answer.headers.get(ADAPTER_HEADER)
             if ran != str(self.request.adapter):
                 raise Refused(wrong_adapter(ran))
-            async with aclosing(events_of(answer)) as parts:
+            async with aclosing(read_events(answer)) as parts:
                 async for part in parts:
                     yield part
 
     async def resume(self, after: int) -> AsyncGenerator[Events, None]:
         """Open the stream again and yield the events after one."""
         async with (
-            self.engines.resume(self.address, self.request_id, after) as answer,
-            aclosing(events_of(answer)) as parts,
+            self.engines.resume_stream(self.address, self.request_id, after) as answer,
+            aclosing(read_events(answer)) as parts,
         ):
             async for part in parts:
                 yield part
@@ -104,8 +104,8 @@
 
     def __init__(
         self,
-        engines: HttpEngines,
-        leases: LeaseTask,
+        engines: HttpEngineClient,
+        leases: UseLeaseTask,
         claimer: Claimer,
         budgets: RetryBudgets,
         tracing: Tracing,
@@ -127,7 +127,7 @@
     ) -> AsyncGenerator[Events, None]:
         """Yield the answer's events; raises `Refused` when it cannot be completed."""
         run = guarded_run(request.envelope, "POST", request.path, request.body)
-        async with self.claimer.guarded(request.envelope, progress, span):
+        async with self.claimer.hold_claim(request.envelope, progress, span):
             try:
                 attempts = self.attempts(request, progress, span, run)
                 async with aclosing(attempts) as events:
@@ -154,7 +154,7 @@
             # A process that was frozen must not act on a claim that may have expired.
             if self.leases.clock.monotonic() >= request.envelope.deadline:
                 raise Refused(too_late(progress))
-            if not self.leases.begin(use):
+            if not self.leases.begin_request(use):
                 continue
             progress.begin_attempt()
             began = self.leases.clock.monotonic()
@@ -171,16 +171,16 @@
                 run.may_have_run = run.may_have_run or not error.proves_not_run
                 self.after_failure(request, use, progress, error, budget)
             finally:
-                self.leases.end(use)
+                self.leases.end_request(use)
 
     async def obtain(self, request: ModelRequest, parent: Span) -> Use:
         """Obtain a lease on an engine that holds the adapter."""
         envelope = request.envelope
-        leased = self.leases.best(request.adapter)
+        leased = self.leases.best_lease(request.adapter)
         if leased is not None:
             return leased
         with self.tracing.child_span("wait for adapter", parent):
-            found = await self.leases.obtain(
+            found = await self.leases.obtain_lease(
                 request.pool.name, request.adapter, envelope.deadline
             )
         if not isinstance(found, Success):
@@ -257,12 +257,12 @@
         )
         progress.end_attempt(error.proves_not_run)
         if error.fault is TargetFault.NOT_LOADED:
-            self.leases.table.drop(use)
+            self.leases.lease_table.drop(use)
             progress.not_loaded += 1
             if progress.not_loaded <= MAX_NOT_LOADED:
                 return
         else:
-            self.leases.avoid(use.target)
+            self.leases.avoid_target(use.target)
         is_repeatable = not request.envelope.key and not progress.last_event
         may_retry = error.proves_not_run or is_repeatable
         if may_retry and budget.spend(progress.attempts):
--- a/packages/daemon/src/sardinequay_daemon/engines.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -29,7 +29,7 @@
 REFUSED_STATUSES = frozenset({400, 404, 413, 422, 429, 503})
 """Statuses by which an engine says that it did not start on a request."""
 REQUEST_HEADER = "X-Request-Id"
-LOOK_S = 0.4
+HEALTH_CHECK_TIMEOUT_S = 0.4
 """Bound on an engine's answer whether it lives; it waits for no place."""
 
 
@@ -57,7 +57,7 @@
     in_use: tuple[AdapterRef, ...] = ()
 
 
-class Engines(Protocol):
+class EngineClient(Protocol):
     """What the rest of the daemon needs of engines."""
 
     async def report(self, target: Target) -> Result[EngineReport, TargetError]:
@@ -77,7 +77,7 @@
         """Have a request ended whose caller is gone."""
 
 
-class HttpEngines:
+class HttpEngineClient:
     """Engines over HTTP."""
 
     def __init__(
@@ -97,11 +97,11 @@
         """Return what an engine says of itself."""
         url = f"http://{target.address}/v1/report"
         try:
-            async with self.session.get(url, timeout=self.report_timeout) as answer:
-                data = await answer.read()
+            async with self.session.get(url, timeout=self.report_timeout) as response:
+                data = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Failure(TargetError(TargetFault.BROKEN, repr(error)))
-        if answer.status != 200:
+        if response.status != 200:
             detail = f"report: {answer.status}"
             return Failure(TargetError(TargetFault.BROKEN, detail))
         return decode_report(target.target_id, data)
@@ -110,15 +110,15 @@
         self, target: Target, use: Use, token: int
     ) -> Result[None, TargetError]:
         """Have an adapter loaded; return when it is."""
-        return await self.order(target, "/v1/load_lora_adapter", use, token)
+        return await self.send_order(target, "/v1/load_lora_adapter", use, token)
 
     async def unload(
         self, target: Target, use: Use, token: int
     ) -> Result[None, TargetError]:
         """Have an adapter evicted; return when it is."""
-        return await self.order(target, "/v1/unload_lora_adapter", use, token)
+        return await self.send_order(target, "/v1/unload_lora_adapter", use, token)
 
-    async def order(
+    async def send_order(
         self, target: Target, path: str, use: Use, token: int
     ) -> Result[None, TargetError]:
         """Give an order with its fencing token."""
@@ -131,16 +131,16 @@
         try:
             async with self.session.post(
                 url, json=body, timeout=self.order_timeout
-            ) as answer:
-                data = await answer.read()
+            ) as response:
+                data = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Failure(TargetError(TargetFault.BROKEN, repr(error)))
-        if answer.status == 200:
+        if response.status == 200:
             return Success(None)
-        return Failure(fault_of(answer.status, data))
+        return Failure(refusal_error(response.status, data))
 
     @asynccontextmanager
-    async def start(
+    async def send_request(
         self, address: Address, request: EngineRequest
     ) -> AsyncIterator[aiohttp.ClientResponse]:
         """Send a request; raises `TargetError` unless the engine took it."""
@@ -148,16 +148,16 @@
         headers = {**request.headers, REQUEST_HEADER: request.request_id}
         url = f"http://{address}{request.path}"
         with TurnedErrors():
-            call = session.post(
+            post_context = session.post(
                 url, data=request.body, headers=headers, timeout=self.stream_timeout()
             )
-            async with call as answer:
-                if answer.status != 200:
-                    raise fault_of(answer.status, await answer.read())
-                yield answer
+            async with post_context as response:
+                if response.status != 200:
+                    raise refusal_error(response.status, await response.read())
+                yield response
 
     @asynccontextmanager
-    async def resume(
+    async def resume_stream(
         self, address: Address, request_id: str, after: int
     ) -> AsyncIterator[aiohttp.ClientResponse]:
         """Open a running request's stream again, after an event.
@@ -167,14 +167,14 @@
         url = f"http://{address}/v1/requests/{request_id}/events"
         try:
             with TurnedErrors():
-                call = self.fresh_session.get(
+                get_context = self.fresh_session.get(
                     url, params={"after": str(after)}, timeout=self.stream_timeout()
                 )
-                async with call as answer:
-                    if answer.status != 200:
+                async with get_context as response:
+                    if response.status != 200:
                         detail = f"resume: {answer.status}"
                         raise TargetError(TargetFault.BROKEN, detail)
-                    yield answer
+                    yield response
         except TargetError as error:
             raise TargetError(TargetFault.BROKEN, error.detail) from error
 
@@ -188,16 +188,16 @@
         """Have a request ended whose caller is gone; best effort."""
         url = f"http://{address}/v1/requests/{request_id}"
         try:
-            async with self.session.delete(url, timeout=self.report_timeout) as answer:
-                await answer.read()
+            async with self.session.delete(url, timeout=self.report_timeout) as response:
+                await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return
 
 
-class EngineLooks:
+class EngineHealthCheck:
     """Asks engines whether they live; services here tell nothing of themselves."""
 
-    def __init__(self, engines: Engines) -> None:
+    def __init__(self, engines: EngineClient) -> None:
         self.engines = engines
 
     async def look(self, target: Target, incarnation: int, health_path: str) -> Sign:
@@ -205,18 +205,18 @@
         if target.kind is not TargetKind.ENGINE:
             return Sign.SOUND
         try:
-            async with asyncio.timeout(LOOK_S):
+            async with asyncio.timeout(HEALTH_CHECK_TIMEOUT_S):
                 report = await self.engines.report(target)
         except TimeoutError:
             return Sign.SILENT
         return Sign.SOUND if isinstance(report, Success) else Sign.FAILING
 
 
-async def events_of(answer: aiohttp.ClientResponse) -> AsyncGenerator[Events, None]:
+async def read_events(response: aiohttp.ClientResponse) -> AsyncGenerator[Events, None]:
     """Yield whole events of a stream as they come."""
     cutter = EventCutter()
     with TurnedErrors():
-        while data := await answer.content.readany():
+        while data := await response.content.readany():
             events = cutter.feed(data)
             if events is not None:
                 yield events
@@ -242,7 +242,7 @@
     )
 
 
-def fault_of(status: int, data: bytes) -> TargetError:
+def refusal_error(status: int, data: bytes) -> TargetError:
     """Return what an engine's refusal proves."""
     try:
         body: Any = msgspec.json.decode(data)
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -28,8 +28,8 @@
 from .peers import PeerCaller
 from .settings import ClaimSettings
 
-JOIN_STEP_S = 0.1
-EXPIRE_S = 5.0
+JOIN_INTERVAL_S = 0.1
+EXPIRE_INTERVAL_S = 5.0
 log = logging.getLogger(__name__)
 
 
@@ -91,11 +91,11 @@
     async def run(self) -> None:
         """Answer and join for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.inbox.serve(self.handle))
-            group.create_task(every(JOIN_STEP_S, self.join_step))
-            group.create_task(every(EXPIRE_S, self.expire))
+            group.create_task(self.inbox.serve(self.handle_message))
+            group.create_task(every(JOIN_INTERVAL_S, self.join_step))
+            group.create_task(every(EXPIRE_INTERVAL_S, self.expire_claims))
 
-    def handle(self, envelope: Envelope) -> None:
+    def handle_message(self, envelope: Envelope) -> None:
         """Answer one message from the state as it is now."""
         message, now = envelope.message, self.clock.monotonic()
         if isinstance(message, ClaimRequest):
@@ -111,14 +111,14 @@
             guard = self.duties[message.data_centre].guard
             envelope.answer(ViewReply(guard.active))
 
-    def take_list(self, roster: Roster) -> None:
+    def apply_host_list(self, roster: Roster) -> None:
         """Take the list that was read from the platform just now."""
         self.roster = roster
         now = self.clock.monotonic()
         for name, duty in self.duties.items():
             duty.read_list(view_of(roster, name), now)
 
-    def hear_roster(self, roster: Roster) -> None:
+    def apply_peer_roster(self, roster: Roster) -> None:
         """Take a roster that a peer told: it may name a later view."""
         self.roster = max(self.roster, roster, key=lambda r: r.number)
         now = self.clock.monotonic()
@@ -130,10 +130,10 @@
         for data_centre, duty in self.duties.items():
             if duty.joining is None:
                 continue
-            await self.gather(data_centre, duty, duty.joining)
-            entered = duty.step(self.clock.monotonic())
-            if entered is not None:
-                self.log_entered(duty, entered)
+            await self.request_missing_records(data_centre, duty, duty.joining)
+            entered_view = duty.step(self.clock.monotonic())
+            if entered_view is not None:
+                self.log_entered(duty, entered_view)
 
     def log_entered(self, duty: GuardDuty, view: View) -> None:
         """Log that this host votes in a view from now on."""
@@ -145,18 +145,18 @@
         }
         log.info("guard entered a view", extra=details)
 
-    async def gather(
+    async def request_missing_records(
         self, data_centre: DataCentre, duty: GuardDuty, joining: Joining
     ) -> None:
         """Ask once for everything that is missing."""
         if not duty.guard.remembers:
-            await self.find_start(data_centre, duty, joining)
-        wanted = joining.requests(self.clock.monotonic())
+            await self.find_active_view(data_centre, duty, joining)
+        missing = joining.requests(self.clock.monotonic())
         await asyncio.gather(
-            *[self.ask(joining, guard, request) for guard, request in wanted]
+            *[self.request_handover(joining, guard, request) for guard, request in missing]
         )
 
-    async def find_start(
+    async def find_active_view(
         self, data_centre: DataCentre, duty: GuardDuty, joining: Joining
     ) -> None:
         """Ask the hosts of the data centre in which view they vote."""
@@ -171,7 +171,7 @@
             if isinstance(reply, ViewReply) and reply.view is not None:
                 duty.take_start(reply.view)
 
-    async def ask(
+    async def request_handover(
         self, joining: Joining, guard: GuardAddress, request: HandoverRequest
     ) -> None:
         """Fetch all pages of one guard's memory."""
@@ -194,9 +194,9 @@
             if not page.more:
                 break
             after = page.records[-1].key
-        joining.take(request.view, guard.host_id, whole(pages), asked_at)
+        joining.take(request.view, guard.host_id, merge_pages(pages), asked_at)
 
-    def expire(self) -> None:
+    def expire_claims(self) -> None:
         """Forget claims whose life is over."""
         for duty in self.duties.values():
             duty.guard.expire(self.clock.monotonic())
@@ -206,7 +206,7 @@
         views = (view_of(self.roster, name) for name in self.duties)
         return any(view.has(self.me) for view in views)
 
-    def views(self) -> dict[str, int | None]:
+    def active_views(self) -> dict[str, int | None]:
         """Return the view in which this host votes, for each data centre."""
         return {
             str(name): duty.guard.active.number if duty.guard.active else None
@@ -214,7 +214,7 @@
         }
 
 
-def whole(pages: list[Handover]) -> Handover:
+def merge_pages(pages: list[Handover]) -> Handover:
     """Join the pages of one guard's answer; the first one names its views."""
     first = pages[0]
     later = {v.number: v for page in pages for v in page.later_views}
--- a/packages/daemon/src/sardinequay_daemon/guarded_run.py
+++ b/packages/daemon/src/sardinequay_daemon/guarded_run.py
@@ -29,4 +29,4 @@
     may_have_run: bool = False
     permit: str = ""
     permit_waits: int = 0
-    verdict: asyncio.Task[bool] | None = None
+    target_end_check: asyncio.Task[bool] | None = None
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -29,12 +29,12 @@
 from .content_spread import ContentSpread
 from .dispatch import ModelDispatcher, RetryBudgets
 from .end_watch import EndWatch
-from .engines import EngineLooks, HttpEngines
+from .engine_client import EngineHealthCheck, HttpEngineClient
 from .errors import StartError
 from .guard_task import GuardTask, claim_policy
 from .journal import Journal
 from .keeper_task import KeeperTask
-from .lease_task import LeaseTask
+from .use_lease_task import UseLeaseTask
 from .mailbox import every
 from .membership_task import MembershipTask, PeerInForce
 from .messages import (
@@ -70,11 +70,11 @@
 KEEPER_MESSAGES = (Acquire, Renew, GiveBack, Want)
 IDLE_CONNECTION_S = 15.0
 
-SAME_END = timedelta(seconds=2)
+SAME_END_WITHIN = timedelta(seconds=2)
 """Targets keep their ids over restarts here and name no start: ends of one target that
 lie closer count once. More would hide an engine that restarts and ends again."""
 
-EXPIRE_S = 10.0
+EXPIRE_INTERVAL_S = 10.0
 """How often contents that are to be forgotten are looked for."""
 
 log = logging.getLogger(__name__)
@@ -109,17 +109,17 @@
 
     # Putting it together.
 
-    def build(self) -> None:
+    def build_tasks(self) -> None:
         """Make every task and say who hears whom."""
         settings, timing = self.settings, self.settings.timing
-        pooled, fresh = self.session(False), self.session(True)
+        pooled, fresh = self.make_session(False), self.make_session(True)
         self.sessions = [pooled, fresh]
         self.membership = self.make_membership()
         self.guard = GuardTask(
             settings.host_id, self.incarnation, settings.claims, self.peers, self.clock
         )
         self.roster = RosterTask(
-            HttpHostList(self.reader(pooled, settings.host_list, "host_list")),
+            HttpHostList(self.make_reader(pooled, settings.host_list, "host_list")),
             self.peers,
             timing,
             self.metrics,
@@ -129,7 +129,7 @@
         self.rollout = RolloutTask(
             Trust(settings.trust.keys, settings.trust.threshold),
             HttpConfigurationService(
-                self.reader(pooled, settings.configuration_service, "configuration")
+                self.make_reader(pooled, settings.configuration_service, "configuration")
             ),
             self.peers,
             timing,
@@ -138,7 +138,7 @@
             self.clock,
             self.membership.is_reader,
         )
-        engines = HttpEngines(
+        engines = HttpEngineClient(
             pooled, fresh, timing.silence_s, settings.limits.longest_request_s
         )
         self.keeper = KeeperTask(
@@ -153,7 +153,7 @@
             self.metrics,
             self.journal,
         )
-        self.leases = LeaseTask(
+        self.leases = UseLeaseTask(
             HolderId(f"{settings.host_id}#{self.incarnation}"),
             self.peer_address,
             settings.data_centre,
@@ -180,10 +180,10 @@
             self.refresh_metrics,
             self.content_guard.lift,
         )
-        self.connect()
-        self.register()
+        self.subscribe_tasks()
+        self.register_handlers()
 
-    def session(self, is_fresh: bool) -> aiohttp.ClientSession:
+    def make_session(self, is_fresh: bool) -> aiohttp.ClientSession:
         """Make a client whose connections are pooled, or each used once."""
         source = (self.listener.ip, 0)
         connector = (
@@ -197,7 +197,7 @@
             connector, auto_decompress=False, cookie_jar=aiohttp.DummyCookieJar()
         )
 
-    def reader(self, session: aiohttp.ClientSession, url: str, name: str) -> HttpReader:
+    def make_reader(self, session: aiohttp.ClientSession, url: str, name: str) -> HttpReader:
         """Make the reader of one of the platform's services."""
         return HttpReader(session, url, self.metrics, name)
 
@@ -213,12 +213,12 @@
             self.random,
             self.metrics,
             self.in_force,
-            self.hear,
+            self.handle_peer_in_force,
         )
 
-    def make_content_guard(self, engines: HttpEngines) -> ContentGuard:
+    def make_content_guard(self, engines: HttpEngineClient) -> ContentGuard:
         """Make what stops requests under which targets end."""
-        quarantine = Quarantine(QuarantinePolicy(same_end=SAME_END))
+        quarantine = Quarantine(QuarantinePolicy(same_end=SAME_END_WITHIN))
         self.spread = ContentSpread(
             self.membership, self.peers, quarantine, self.clock, self.random
         )
@@ -228,7 +228,7 @@
             EndWatch(
                 TargetProbe(
                     ConnectionProbe(self.listener.ip).accepts,
-                    EngineLooks(engines),
+                    EngineHealthCheck(engines),
                     lambda _: False,
                     lambda _: "",
                 ).lives,
@@ -244,7 +244,7 @@
 
     def make_callers(
         self,
-        engines: HttpEngines,
+        engines: HttpEngineClient,
         pooled: aiohttp.ClientSession,
         fresh: aiohttp.ClientSession,
     ) -> CallerServer:
@@ -278,7 +278,7 @@
         )
         policy = AdmissionPolicy(limits.max_in_flight, limits.reserved_share)
         return CallerServer(
-            self.bundle,
+            self.current_bundle,
             dispatcher,
             self.forwarder,
             Admission(policy),
@@ -289,30 +289,30 @@
             self.clock,
         )
 
-    def connect(self) -> None:
+    def subscribe_tasks(self) -> None:
         """Say which task hears of which change."""
         rosters = self.roster.rosters
         rosters.subscribe(self.membership.take_roster)
-        rosters.subscribe(self.claimer.take_roster)
-        rosters.subscribe(self.leases.take_roster)
+        rosters.subscribe(self.claimer.apply_roster)
+        rosters.subscribe(self.leases.apply_roster)
         rosters.subscribe(self.forwarder.take_roster)
-        rosters.subscribe(self.hear_roster)
-        self.roster.direct_reads.subscribe(self.guard.take_list)
-        self.membership.live.subscribe(self.leases.take_members)
+        rosters.subscribe(self.forward_roster_to_guard)
+        self.roster.direct_reads.subscribe(self.guard.apply_host_list)
+        self.membership.live.subscribe(self.leases.apply_members)
         self.keeper.subscribe(self.rollout.bundles, rosters, self.membership.live)
-        self.rollout.bundles.subscribe(self.bundle_changed)
+        self.rollout.bundles.subscribe(self.announce_bundle)
 
-    def hear_roster(self, roster: Roster) -> None:
+    def forward_roster_to_guard(self, roster: Roster) -> None:
         """Have the guard hear of a roster, however it came."""
         if roster.number:
-            self.guard.hear_roster(roster)
+            self.guard.apply_peer_roster(roster)
 
-    def bundle_changed(self, bundle: Bundle | None) -> None:
+    def announce_bundle(self, bundle: Bundle | None) -> None:
         """Tell peers at once of a bundle that came into force."""
         if bundle is not None:
             self.membership.spread()
 
-    def register(self) -> None:
+    def register_handlers(self) -> None:
         """Say who answers which message of a peer."""
         server = self.peer_server
         server.register(Ping, self.membership.answer_ping)
@@ -320,14 +320,14 @@
         server.register(FetchRoot, self.rollout.answer_root)
         server.register(FetchBlobs, self.rollout.answer_blobs)
         server.register(FetchRoster, self.roster.answer_fetch)
-        server.register(Recall, self.leases.answer_recall)
+        server.register(Recall, self.leases.handle_recall)
         server.register(ContentsTold, self.spread.answer)
         server.register(AskPermit, self.content_guard.answer_ask)
         server.register(PermitBack, self.content_guard.answer_back)
-        for guarded in GUARD_MESSAGES:
-            server.register(guarded, self.guard.inbox.ask)
-        for kept in KEEPER_MESSAGES:
-            server.register(kept, self.keeper.inbox.ask)
+        for guard_message in GUARD_MESSAGES:
+            server.register(guard_message, self.guard.inbox.ask)
+        for keeper_message in KEEPER_MESSAGES:
+            server.register(keeper_message, self.keeper.inbox.ask)
 
     # What is in force.
 
@@ -335,16 +335,16 @@
         """Return what to tell peers with each heartbeat."""
         return self.rollout.in_force(self.roster.roster.number)
 
-    def hear(self, event: PeerInForce) -> None:
+    def handle_peer_in_force(self, event: PeerInForce) -> None:
         """Pass on what a peer has in force to those who may want it."""
-        said = event.in_force
-        offered = Offered(said.bundle_version, said.bundle_digest)
+        in_force = event.in_force
+        offered = Offered(in_force.bundle_version, in_force.bundle_digest)
         if self.rollout.rollout.is_worth_asking(offered):
             self.rollout.inbox.tell(PeerOffer(offered, event.address))
-        if said.roster_number > self.roster.roster.number:
-            self.roster.inbox.tell((said.roster_number, event.address))
+        if in_force.roster_number > self.roster.roster.number:
+            self.roster.inbox.tell((in_force.roster_number, event.address))
 
-    def bundle(self) -> Bundle | None:
+    def current_bundle(self) -> Bundle | None:
         """Return the bundle in force."""
         in_place = self.rollout.in_place
         return in_place.bundle if in_place else None
@@ -370,8 +370,8 @@
             roster_number=self.roster.roster.number,
             in_flight=self.callers.admission.in_flight,
             members=self.membership.health_of(),
-            guard_views=self.guard.views(),
-            resident=self.keeper.summary(),
+            guard_views=self.guard.active_views(),
+            resident=self.keeper.residency_snapshot(),
             quarantined=self.content_guard.held(),
         )
 
@@ -393,7 +393,7 @@
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until told to stop, then let what is in flight finish."""
-        self.build()
+        self.build_tasks()
         peer_listener = await self.listen()
         try:
             async with asyncio.TaskGroup() as group:
@@ -405,7 +405,7 @@
                     group.create_task(self.keeper.run()),
                     group.create_task(self.leases.run()),
                     group.create_task(self.spread.run()),
-                    group.create_task(every(EXPIRE_S, self.expire_contents)),
+                    group.create_task(every(EXPIRE_INTERVAL_S, self.expire_contents)),
                 ]
                 await stop.wait()
                 await self.drain()
@@ -456,7 +456,7 @@
         except TimeoutError:
             left = self.callers.admission.in_flight
             log.error("stopped with requests in flight", extra={"in_flight": left})
-        await self.leases.give_back_all()
+        await self.leases.return_idle_leases()
 
     async def close(self) -> None:
         """Close all that is open."""
--- a/packages/daemon/src/sardinequay_daemon/keeper_events.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_events.py
@@ -34,7 +34,7 @@
 
     pool: PoolName
     order: OrderLoad
-    took: timedelta
+    duration: timedelta
     error: TargetError | None
 
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reassigned:
+class AssignmentChanged:
     """Event: what there is to keep, or who is alive, has changed."""
 
     bundle: Bundle
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -38,12 +38,12 @@
 from sardinequay_core.rendezvous import rank
 from sardinequay_core.roster import Presence, Roster, Target, TargetKind
 
-from .engines import Engines
+from .engine_client import EngineClient
 from .errors import TargetError, TargetFault
 from .journal import Journal
 from .keeper_events import (
     LoadEnded,
-    Reassigned,
+    AssignmentChanged,
     RecallEnded,
     ReportArrived,
     UnloadEnded,
@@ -74,12 +74,12 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class KeepershipState:
     """One keepership of this host, and who waits in it."""
 
     keeper: Keeper
     tickets: dict[int, Envelope]
-    addresses: dict[HolderId, Address]
+    holder_addresses: dict[HolderId, Address]
 
 
 def keeper_rank(pool: PoolName, data_centre: DataCentre, hosts: list[str]) -> list[str]:
@@ -94,7 +94,7 @@
         self,
         me: HostId,
         data_centre: DataCentre,
-        engines: Engines,
+        engines: EngineClient,
         peers: PeerCaller,
         timing: TimingSettings,
         limits: LimitSettings,
@@ -113,10 +113,10 @@
         self.random = random
         self.metrics = metrics
         self.journal = journal
-        self.kept: dict[PoolName, Kept] = {}
+        self.keeperships: dict[PoolName, KeepershipState] = {}
         self.inbox = Mailbox()
-        self.numbers = itertools.count(1)
-        self.running: set[asyncio.Task[None]] = set()
+        self.ticket_ids = itertools.count(1)
+        self.background_tasks: set[asyncio.Task[None]] = set()
 
     def subscribe(
         self,
@@ -126,61 +126,61 @@
     ) -> None:
         """Follow what there is to keep, and who is alive to keep it."""
 
-        def tell(latest: tuple[Bundle | None, Roster, tuple[Member, ...]]) -> None:
+        def post_assignment(latest: tuple[Bundle | None, Roster, tuple[Member, ...]]) -> None:
             bundle, roster, members = latest
             if bundle is not None:
-                self.inbox.tell(Reassigned(bundle, roster, members))
+                self.inbox.tell(AssignmentChanged(bundle, roster, members))
 
-        reactivex.combine_latest(bundles, rosters, live).subscribe(tell)
+        reactivex.combine_latest(bundles, rosters, live).subscribe(post_assignment)
 
     async def run(self) -> None:
         """Serve messages, read reports and tick for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.inbox.serve(self.handle))
-            group.create_task(every(self.timing.report_s, self.read_reports))
+            group.create_task(self.inbox.serve(self.handle_message))
+            group.create_task(every(self.timing.report_s, self.request_reports))
             group.create_task(every(TICK_S, self.tick))
 
-    def start(self, work: Coroutine[Any, Any, None]) -> None:
+    def start_background(self, work: Coroutine[Any, Any, None]) -> None:
         """Run work beside the task; its result comes back as an event."""
         task = asyncio.create_task(work)
-        self.running.add(task)
-        task.add_done_callback(self.running.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     # Who keeps what.
 
-    def reassign(self, event: Reassigned) -> None:
+    def handle_assignment_change(self, event: AssignmentChanged) -> None:
         """Take up keeperships that fall to this host, and drop others."""
         hosts = [str(m.host_id) for m in event.members]
-        mine = {
+        pools_to_keep = {
             pool.name: pool
             for pool in event.bundle.pools.values()
-            if pool.slots and self.is_mine(pool.name, hosts)
+            if pool.slots and self.is_keeper_of(pool.name, hosts)
         }
-        for pool_name in self.kept.keys() - mine.keys():
-            self.drop(pool_name)
-        for pool_name, pool in mine.items():
-            targets = engines_of(event.roster, pool_name)
-            self.take_up(pool, targets)
+        for pool_name in self.keeperships.keys() - pools_to_keep.keys():
+            self.drop_keepership(pool_name)
+        for pool_name, pool in pools_to_keep.items():
+            targets = pool_engines(event.roster, pool_name)
+            self.update_keepership(pool, targets)
 
-    def is_mine(self, pool: PoolName, hosts: list[str]) -> bool:
+    def is_keeper_of(self, pool: PoolName, hosts: list[str]) -> bool:
         """Return whether this host is the first in the keepers' order."""
         return keeper_rank(pool, self.data_centre, hosts)[:1] == [self.me]
 
-    def take_up(self, pool: Pool, targets: list[Target]) -> None:
+    def update_keepership(self, pool: Pool, targets: list[Target]) -> None:
         """Keep a pool's engines here, by the bundle's present policy."""
         local = [t for t in targets if t.data_centre == self.data_centre]
         share = len(local) / len(targets) if targets else 0.0
-        kept = self.kept.get(pool.name)
-        if kept is None:
+        state = self.keeperships.get(pool.name)
+        if state is None:
             suffix = self.random.getrandbits(SUFFIX_BITS)
-            policy = self.policy(pool, share)
+            policy = self.make_policy(pool, share)
             keeper = Keeper(policy, suffix, self.clock.monotonic())
-            kept = self.kept[pool.name] = Kept(keeper, {}, {})
+            state = self.keeperships[pool.name] = KeepershipState(keeper, {}, {})
             log.info("keepership taken", extra={"pool": pool.name})
-        kept.keeper.queue.policy = self.policy(pool, share).loads
-        kept.keeper.set_targets(local)
+        state.keeper.queue.policy = self.make_policy(pool, share).loads
+        state.keeper.set_targets(local)
 
-    def policy(self, pool: Pool, share: float) -> KeeperPolicy:
+    def make_policy(self, pool: Pool, share: float) -> KeeperPolicy:
         """Return a keeper's policy; the store's rate is shared by engines."""
         return KeeperPolicy(
             lease=timedelta(seconds=self.timing.lease_s),
@@ -194,44 +194,44 @@
             ),
         )
 
-    def drop(self, pool: PoolName) -> None:
+    def drop_keepership(self, pool: PoolName) -> None:
         """Give up a keepership; those who wait find the new keeper."""
-        kept = self.kept.pop(pool)
-        for envelope in kept.tickets.values():
+        state = self.keeperships.pop(pool)
+        for envelope in state.tickets.values():
             envelope.answer(NotKeeper())
         log.info("keepership dropped", extra={"pool": pool})
 
     # Messages and events.
 
-    def handle(self, envelope: Envelope) -> None:
+    def handle_message(self, envelope: Envelope) -> None:
         """Take one message."""
         message = envelope.message
-        if isinstance(message, Reassigned):
-            self.reassign(message)
+        if isinstance(message, AssignmentChanged):
+            self.handle_assignment_change(message)
         elif isinstance(message, Acquire | Renew | GiveBack | Want):
-            self.handle_holder(envelope)
-        elif message.pool in self.kept:
-            self.handle_event(self.kept[message.pool], message)
+            self.handle_holder_request(envelope)
+        elif message.pool in self.keeperships:
+            self.handle_event(self.keeperships[message.pool], message)
 
-    def handle_holder(self, envelope: Envelope) -> None:
+    def handle_holder_request(self, envelope: Envelope) -> None:
         """Answer a holder, if this host keeps what it means."""
         message = envelope.message
-        kept = self.kept.get(message.keepership.pool)
-        if kept is None or message.keepership.data_centre != self.data_centre:
+        state = self.keeperships.get(message.keepership.pool)
+        if state is None or message.keepership.data_centre != self.data_centre:
             envelope.answer(NotKeeper())
             return
         now = self.clock.monotonic()
         if isinstance(message, Want):
-            self.want(kept, envelope, message, now)
+            self.queue_load_request(state, envelope, message, now)
         elif isinstance(message, GiveBack):
-            kept.keeper.give_back(message.holder, message.use, message.sequence)
+            state.keeper.give_back(message.holder, message.use, message.sequence)
             envelope.answer(Taken())
         else:
-            kept.addresses[message.holder] = parse_address(message.address).unwrap()
-            granted = self.grant(kept.keeper, message, now)
-            envelope.answer(self.granted(kept.keeper, granted))
+            state.holder_addresses[message.holder] = parse_address(message.address).unwrap()
+            granted = self.grant_leases(state.keeper, message, now)
+            envelope.answer(self.granted_reply(state.keeper, granted))
 
-    def grant(
+    def grant_leases(
         self, keeper: Keeper, message: Acquire | Renew, now: Instant
     ) -> list[tuple[Use, timedelta]]:
         """Grant or renew leases."""
@@ -239,7 +239,7 @@
             return keeper.renew(message.holder, message.uses, message.sequence, now)
         return keeper.acquire(message.holder, message.adapter, message.sequence, now)
 
-    def granted(self, keeper: Keeper, uses: list[tuple[Use, timedelta]]) -> Granted:
+    def granted_reply(self, keeper: Keeper, uses: list[tuple[Use, timedelta]]) -> Granted:
         """Return leases with the reported load of their engines."""
         loads = []
         for target in sorted({use.target for use, _ in uses}):
@@ -249,42 +249,42 @@
         grants = tuple(GrantedUse(use, lasts.total_seconds()) for use, lasts in uses)
         return Granted(grants, tuple(loads))
 
-    def want(self, kept: Kept, envelope: Envelope, message: Want, now: Instant) -> None:
+    def queue_load_request(self, state: KeepershipState, envelope: Envelope, message: Want, now: Instant) -> None:
         """Queue a request for a cold adapter, or give it up at once."""
-        ticket = next(self.numbers)
+        ticket = next(self.ticket_ids)
         deadline = now + timedelta(seconds=message.wait_s)
-        given_up = kept.keeper.want(ticket, message.adapter, deadline, now)
+        given_up = state.keeper.want(ticket, message.adapter, deadline, now)
         if given_up is not None:
             wait_s = given_up.retry_after.total_seconds()
             envelope.answer(Wanted(False, wait_s))
             return
-        kept.tickets[ticket] = envelope
+        state.tickets[ticket] = envelope
         if envelope.reply is not None:
             envelope.reply.add_done_callback(
-                lambda _: self.forget(kept, ticket, message.adapter)
+                lambda _: self.cancel_ticket(state, ticket, message.adapter)
             )
-        self.act(kept, message.keepership.pool)
+        self.run_commands(state, message.keepership.pool)
 
-    def forget(self, kept: Kept, ticket: int, adapter: AdapterRef) -> None:
+    def cancel_ticket(self, state: KeepershipState, ticket: int, adapter: AdapterRef) -> None:
         """Forget a ticket that was answered or whose holder is gone."""
-        if kept.tickets.pop(ticket, None) is not None:
-            kept.keeper.queue.cancel(ticket, adapter)
+        if state.tickets.pop(ticket, None) is not None:
+            state.keeper.queue.cancel(ticket, adapter)
 
-    def handle_event(self, kept: Kept, event: Any) -> None:
+    def handle_event(self, state: KeepershipState, event: Any) -> None:
         """Take what engines and holders answered."""
         now = self.clock.monotonic()
         if isinstance(event, ReportArrived):
-            kept.keeper.take_report(event.report, event.asked_at, now)
+            state.keeper.take_report(event.report, event.asked_at, now)
         elif isinstance(event, LoadEnded):
-            self.load_ended(kept, event, now)
+            self.handle_load_ended(state, event, now)
         elif isinstance(event, UnloadEnded):
-            self.unload_ended(kept, event, now)
+            self.handle_unload_ended(state, event, now)
         elif isinstance(event, RecallEnded) and event.answer.in_flight == 0:
             order = event.order
-            kept.keeper.give_back(order.holder, order.use, event.answer.sequence)
-        self.act(kept, event.pool)
+            state.keeper.give_back(order.holder, order.use, event.answer.sequence)
+        self.run_commands(state, event.pool)
 
-    def load_ended(self, kept: Kept, event: LoadEnded, now: Instant) -> None:
+    def handle_load_ended(self, state: KeepershipState, event: LoadEnded, now: Instant) -> None:
         """Take the end of a load, and wake those who waited for it."""
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
@@ -294,25 +294,25 @@
             result,
             adapter=str(use.adapter),
             engine=use.target,
-            took_s=event.took.total_seconds(),
+            took_s=event.duration.total_seconds(),
         )
         if event.error is None:
-            self.answer_loaded(kept, kept.keeper.load_done(use, event.took, now))
+            self.answer_tickets(state, state.keeper.load_done(use, event.duration, now))
             return
         log.warning("load failed", extra={"use": str(use), "error": str(event.error)})
         if event.error.fault is TargetFault.STALE_TOKEN:
-            kept.keeper.superseded(use.target, now)
+            state.keeper.superseded(use.target, now)
         else:
-            kept.keeper.load_failed(use, now)
+            state.keeper.load_failed(use, now)
 
-    def answer_loaded(self, kept: Kept, tickets: tuple[int, ...]) -> None:
+    def answer_tickets(self, state: KeepershipState, tickets: tuple[int, ...]) -> None:
         """Wake the requests that waited for a load."""
         for ticket in tickets:
-            envelope = kept.tickets.pop(ticket, None)
+            envelope = state.tickets.pop(ticket, None)
             if envelope is not None:
                 envelope.answer(Wanted(True))
 
-    def unload_ended(self, kept: Kept, event: UnloadEnded, now: Instant) -> None:
+    def handle_unload_ended(self, state: KeepershipState, event: UnloadEnded, now: Instant) -> None:
         """Take the end of an eviction."""
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
@@ -320,46 +320,46 @@
         subject = order_id("evict", event.order.token)
         self.journal.note(subject, result, adapter=str(use.adapter), engine=use.target)
         if event.error is None:
-            kept.keeper.unload_done(use, now)
+            state.keeper.unload_done(use, now)
         elif event.error.fault is TargetFault.STALE_TOKEN:
-            kept.keeper.superseded(use.target, now)
+            state.keeper.superseded(use.target, now)
         else:
-            kept.keeper.unload_failed(use)
+            state.keeper.unload_failed(use)
 
     # What the core decides, carried out.
 
     def tick(self) -> None:
         """Let time pass for every keepership."""
-        for pool, kept in list(self.kept.items()):
-            self.act(kept, pool)
+        for pool, state in list(self.keeperships.items()):
+            self.run_commands(state, pool)
 
-    def act(self, kept: Kept, pool: PoolName) -> None:
+    def run_commands(self, state: KeepershipState, pool: PoolName) -> None:
         """Carry out what the core decides now."""
-        for command in kept.keeper.tick(self.clock.monotonic()):
-            self.carry_out(kept, pool, command)
+        for command in state.keeper.tick(self.clock.monotonic()):
+            self.run_command(state, pool, command)
 
-    def carry_out(self, kept: Kept, pool: PoolName, command: Command) -> None:
+    def run_command(self, state: KeepershipState, pool: PoolName, command: Command) -> None:
         """Carry out one command."""
         if isinstance(command, GiveUp):
-            envelope = kept.tickets.pop(command.ticket, None)
+            envelope = state.tickets.pop(command.ticket, None)
             if envelope is not None:
                 wait_s = command.retry_after.total_seconds()
                 envelope.answer(Wanted(False, wait_s))
             return
-        target = kept.keeper.engines[command.use.target].target
+        target = state.keeper.engines[command.use.target].target
         if isinstance(command, OrderLoad):
-            self.note_load(kept, command)
-            self.start(self.load(pool, target, command))
+            self.record_load_order(state, command)
+            self.start_background(self.send_load(pool, target, command))
         elif isinstance(command, OrderUnload):
-            self.note_unload(kept, command)
-            self.start(self.unload(pool, target, command))
+            self.record_unload_order(state, command)
+            self.start_background(self.send_unload(pool, target, command))
         else:
-            self.start(self.recall(kept, pool, command))
+            self.start_background(self.send_recall(state, pool, command))
 
-    def note_load(self, kept: Kept, order: OrderLoad) -> None:
+    def record_load_order(self, state: KeepershipState, order: OrderLoad) -> None:
         """Note why a load was ordered."""
         adapter, now = order.use.adapter, self.clock.monotonic()
-        queue = kept.keeper.queue
+        queue = state.keeper.queue
         waiting = queue.waiting.get(adapter)
         self.journal.note(
             order_id("load", order.token),
@@ -372,9 +372,9 @@
             others_waiting=[str(a) for a in queue.order(now)[:5] if a != adapter],
         )
 
-    def note_unload(self, kept: Kept, order: OrderUnload) -> None:
+    def record_unload_order(self, state: KeepershipState, order: OrderUnload) -> None:
         """Note why an eviction was ordered."""
-        queue, now = kept.keeper.queue, self.clock.monotonic()
+        queue, now = state.keeper.queue, self.clock.monotonic()
         self.journal.note(
             order_id("evict", order.token),
             "ordered",
@@ -384,71 +384,71 @@
             leases="none can still be used",
         )
 
-    async def load(self, pool: PoolName, target: Target, order: OrderLoad) -> None:
+    async def send_load(self, pool: PoolName, target: Target, order: OrderLoad) -> None:
         """Order a load and wait for its end."""
-        began = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         result = await self.engines.load(target, order.use, order.token)
-        took = self.clock.monotonic() - began
-        self.inbox.tell(LoadEnded(pool, order, took, error_of(result)))
+        duration = self.clock.monotonic() - started_at
+        self.inbox.tell(LoadEnded(pool, order, duration, order_error(result)))
 
-    async def unload(self, pool: PoolName, target: Target, order: OrderUnload) -> None:
+    async def send_unload(self, pool: PoolName, target: Target, order: OrderUnload) -> None:
         """Order an eviction and wait for its end."""
         result = await self.engines.unload(target, order.use, order.token)
-        self.inbox.tell(UnloadEnded(pool, order, error_of(result)))
+        self.inbox.tell(UnloadEnded(pool, order, order_error(result)))
 
-    async def recall(self, kept: Kept, pool: PoolName, order: OrderRecall) -> None:
+    async def send_recall(self, state: KeepershipState, pool: PoolName, order: OrderRecall) -> None:
         """Ask a holder to stop; a silent one's lease runs out."""
-        address = kept.addresses.get(order.holder)
+        address = state.holder_addresses.get(order.holder)
         if address is None:
             return
         answer = (await self.peers.call(address, Recall(order.use))).value_or(None)
         if isinstance(answer, Recalled):
             self.inbox.tell(RecallEnded(pool, order, answer))
 
-    async def read_reports(self) -> None:
+    async def request_reports(self) -> None:
         """Ask every kept engine for its report."""
-        asks = [
-            self.read_report(pool, engine.target)
-            for pool, kept in self.kept.items()
-            for engine in kept.keeper.engines.values()
+        requests = [
+            self.request_report(pool, engine.target)
+            for pool, state in self.keeperships.items()
+            for engine in state.keeper.engines.values()
         ]
-        await asyncio.gather(*asks)
+        await asyncio.gather(*requests)
 
-    async def read_report(self, pool: PoolName, target: Target) -> None:
+    async def request_report(self, pool: PoolName, target: Target) -> None:
         """Ask one engine for its report."""
         asked_at = self.clock.monotonic()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.timing.lease_s / 2):
-                found = await self.engines.report(target)
-                if isinstance(found, Success):
-                    report = found.unwrap()
+                result = await self.engines.report(target)
+                if isinstance(result, Success):
+                    report = result.unwrap()
                     self.metrics.batch_fill.set(
                         {"engine": str(target.target_id)}, report.running
                     )
                     self.inbox.tell(ReportArrived(pool, report, asked_at))
 
-    def summary(self) -> dict[str, dict[TargetId, list[str]]]:
+    def residency_snapshot(self) -> dict[str, dict[TargetId, list[str]]]:
         """Return what is resident where, for operators."""
         return {
             str(pool): {
                 target: [str(a) for a in sorted(engine.resident)]
-                for target, engine in kept.keeper.engines.items()
+                for target, engine in state.keeper.engines.items()
             }
-            for pool, kept in self.kept.items()
+            for pool, state in self.keeperships.items()
         }
 
 
-def engines_of(roster: Roster, pool: PoolName) -> list[Target]:
+def pool_engines(roster: Roster, pool: PoolName) -> list[Target]:
     """Return a pool's engines over all data centres, leaving ones included."""
     return [t for t in roster.targets_of(pool) if t.kind is TargetKind.ENGINE]
 
 
 def live_engines(roster: Roster, pool: PoolName) -> list[Target]:
     """Return a pool's engines that take new work."""
-    return [t for t in engines_of(roster, pool) if t.presence is Presence.LIVE]
+    return [t for t in pool_engines(roster, pool) if t.presence is Presence.LIVE]
 
 
-def error_of(result: Result[None, TargetError]) -> TargetError | None:
+def order_error(result: Result[None, TargetError]) -> TargetError | None:
     """Return an order's error, if it failed."""
     return None if isinstance(result, Success) else result.failure()
 
--- a/packages/daemon/src/sardinequay_daemon/wish_desk.py
+++ b/packages/daemon/src/sardinequay_daemon/load_request_handler.py
@@ -8,7 +8,7 @@
 from sardinequay_core.engine_orders import Waiter
 from sardinequay_core.names import AdapterRef, TargetId
 
-from .ordered_engine import ManagedEngine
+from .managed_engine import ManagedEngine
 from .serving_messages import WantAdapter, WantReply
 
 NEVER_S = float("inf")
--- a/packages/daemon/src/sardinequay_daemon/main.py
+++ b/packages/daemon/src/sardinequay_daemon/main.py
@@ -23,16 +23,16 @@
 log = logging.getLogger(__name__)
 
 
-def parser() -> argparse.ArgumentParser:
+def make_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    made = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         prog="sardinequayd", description="Serve LoRA adapters on this entry host."
     )
-    made.add_argument("settings", type=Path, help="the settings file, in JSON")
-    made.add_argument(
+    parser.add_argument("settings", type=Path, help="the settings file, in JSON")
+    parser.add_argument(
         "--check", action="store_true", help="check the settings and exit"
     )
-    return made
+    return parser
 
 
 async def serve(settings: Settings) -> None:
@@ -52,12 +52,12 @@
 
 def main() -> int:
     """Run the daemon; return its exit code."""
-    arguments = parser().parse_args()
-    read = read_settings(arguments.settings)
-    if not isinstance(read, Success):
-        print(f"sardinequayd: {read.failure()}", file=sys.stderr)
+    arguments = make_parser().parse_args()
+    settings_result = read_settings(arguments.settings)
+    if not isinstance(settings_result, Success):
+        print(f"sardinequayd: {settings_result.failure()}", file=sys.stderr)
         return EXIT_BAD_SETTINGS
-    settings = read.unwrap()
+    settings = settings_result.unwrap()
     if arguments.check:
         print("settings are good")
         return EXIT_OK
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -25,7 +25,7 @@
 from sardinequay_core.serving import EnginePool, Pool
 
 from .order_lease_task import OrderLeaseTask
-from .ordered_engine import ManagedEngine, order_subject
+from .managed_engine import ManagedEngine, order_subject
 from .serving_messages import (
     AdapterMissing,
     EngineHoldings,
@@ -34,7 +34,7 @@
 )
 from .serving_metrics import ServingMetrics
 from .serving_ports import EngineOrders, OrderAccepted, OrderTerms
-from .wish_desk import LoadRequestHandler
+from .load_request_handler import LoadRequestHandler
 
 LEASE_POLL_S = 0.08
 """How often an order that waits for the lease looks at it."""
@@ -216,7 +216,7 @@
             return
         scheduler = EngineBook(target_id, pool.adapter_slots, published.incarnation)
         received = self.peer_holdings.get(target_id)
-        inherited = on_holdings_changed.holdings if received is not None else None
+        inherited = received.holdings if received is not None else None
         if inherited is not None and inherited.incarnation >= scheduler.incarnation:
             scheduler.incarnation = inherited.incarnation
             scheduler.times.inherit(parse_adapter_ref(t).unwrap() for t in inherited.recent)
@@ -436,7 +436,7 @@
     def peer_holdings_snapshot(self, now: Instant) -> tuple[EngineHoldings, ...]:
         """Return what other holders told of engines that this host does not order."""
         return tuple(
-            heard.as_of(now)
-            for target, heard in self.peer_holdings.items()
+            received.as_of(now)
+            for target, received in self.peer_holdings.items()
             if target not in self.managed_engines
         )
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -215,7 +215,7 @@
     async def __aenter__(self) -> aiohttp.ClientResponse:
         """Claim the key, and send the request until a target answers."""
         claimer, envelope = self.forwarder.claimer, self.request.envelope
-        self.claim = await claimer.claim_for(envelope, self.span)
+        self.claim = await claimer.claim_request_key(envelope, self.span)
         try:
             self.answer = await self.attempt_all()
         except BaseException:
@@ -248,7 +248,7 @@
         """Tell the guards what became of a claimed request."""
         if self.claim is not None:
             outcome = Outcome.RAN if ran else self.progress.outcome
-            self.forwarder.claimer.settle(self.claim, outcome)
+            self.forwarder.claimer.settle_claim(self.claim, outcome)
 
     async def attempt_all(self) -> aiohttp.ClientResponse:
         """Send the request to one target after another until one answers."""
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -61,19 +61,19 @@
 """Hosts of a region answer in milliseconds; a silent link must cost less than the time
 in which changes are to be followed."""
 
-KEEP_ACCEPTING_S = 2.8
+ACCEPT_AFTER_STOP_S = 2.8
 """After a stop signal, streams are begun for so long: the balancer asks once a second
 and stops sending after two bad answers. What begins later may outlast the grace."""
 
-LAST_SHARE = 0.94
+DRAIN_GRACE_SHARE = 0.94
 """Share of the grace after which what is still in flight is given up; the rest is for
 ending the process before it is killed."""
 
-RESIGN_AHEAD_S = 0.5
+RESIGN_BEFORE_END_S = 0.5
 """How long before its end a host that drains gives the lease back at the latest, in
 seconds: its voters' answers are waited for, and it is killed when its grace is over."""
 
-CLOSE_POLL_S = 0.05
+DRAIN_POLL_S = 0.05
 AnyRunner = web.AppRunner | web.ServerRunner
 log = logging.getLogger(__name__)
 
@@ -124,7 +124,7 @@
             self.peers,
             clock,
             order_policy.remember,
-            self.digest,
+            self.make_digest,
         )
         self.store = StoreTask(
             deployment.store,
@@ -165,7 +165,7 @@
             clock,
             self.metrics,
             self.state.uses,
-            self.tell_holdings,
+            self.announce_holdings,
         )
         self.state.orders = self.orders
         self.upstream = Upstream(profile.callers.ip)
@@ -207,26 +207,26 @@
             clock,
             profile.memory_mb,
         )
-        self.writer = DigestWriter(
+        self.digest_writer = DigestWriter(
             self.me, self.fleet, self.state, self.store, self.orders, clock
         )
-        self.fetching: asyncio.Task[None] | None = None
+        self.fetch_task: asyncio.Task[None] | None = None
         self.is_stopping = False
         self.runners: list[AnyRunner] = []
-        self.connect()
+        self.subscribe_tasks()
 
-    def connect(self) -> None:
+    def subscribe_tasks(self) -> None:
         """Say which task hears of which change, and who answers which message."""
         self.store.catalogues.subscribe(self.state.take_catalogue)
         self.store.catalogues.subscribe(self.orders.apply_catalogue)
-        self.store.catalogues.subscribe(self.tell_catalogue)
+        self.store.catalogues.subscribe(self.announce_catalogue)
         self.store.catalogues.subscribe(self.guard.take_catalogue)
         self.fleet.digests.subscribe(self.state.take_digest)
-        self.fleet.digests.subscribe(self.take_contents)
-        self.fleet.digests.subscribe(self.writer.take_digest)
-        self.fleet.digests.subscribe(self.take_digest)
+        self.fleet.digests.subscribe(self.handle_peer_contents)
+        self.fleet.digests.subscribe(self.digest_writer.take_digest)
+        self.fleet.digests.subscribe(self.handle_digest)
         self.fleet.lost.subscribe(self.state.lose_peer)
-        self.fleet.lost.subscribe(self.writer.tell_anew)
+        self.fleet.lost.subscribe(self.digest_writer.tell_anew)
         self.fleet.holds_lease = lambda: self.lease.is_holder
         self.lease.newest_revision = lambda: self.store.newest_revision
         server = self.peer_server
@@ -240,7 +240,7 @@
         server.register(AdapterMissing, self.orders.handle_adapter_event)
         server.register(UseChanged, self.orders.handle_adapter_event)
 
-    def take_profile(self, profile: HostProfile) -> None:
+    def apply_profile(self, profile: HostProfile) -> None:
         """Take settings that changed: seeds and bounds; addresses stay."""
         self.profile = replace(self.profile, seeds=profile.seeds, bounds=profile.bounds)
         self.fleet.set_seeds(profile.seeds)
@@ -251,41 +251,41 @@
 
     # Digests.
 
-    def digest(self, host_id: HostId) -> Digest:
+    def make_digest(self, host_id: HostId) -> Digest:
         """Return what to tell a peer now."""
-        return self.writer.digest(host_id)
+        return self.digest_writer.digest(host_id)
 
-    def tell_holdings(self) -> None:
+    def announce_holdings(self) -> None:
         """Let this host and its peers know what engines hold now."""
         now = self.clock.monotonic()
         for holdings in self.orders.holdings_snapshot():
             self.state.hear_holdings(holdings, now)
         self.fleet.tell_soon(far=True)
 
-    def tell_catalogue(self, _: Catalogue) -> None:
+    def announce_catalogue(self, _: Catalogue) -> None:
         """Let the hosts that this one reads the store for know that it has changed."""
         if self.fleet.is_reader():
             self.fleet.tell_soon(far=False)
 
-    def take_contents(self, heard: HeardDigest) -> None:
+    def handle_peer_contents(self, heard: HeardDigest) -> None:
         """Take what a peer knows against contents of requests."""
         self.guard.take(heard.digest.contents)
 
-    def take_digest(self, heard: HeardDigest) -> None:
+    def handle_digest(self, heard: HeardDigest) -> None:
         """Fetch what a peer knows of the store and this host does not."""
         digest = heard.digest
-        is_idle = self.fetching is None or self.fetching.done()
+        is_idle = self.fetch_task is None or self.fetch_task.done()
         self.store.hear_revision(digest.store_revision)
         if digest.news_revision > self.store.catalogue.revision and is_idle:
-            self.fetching = asyncio.create_task(self.fetch(digest.host.host_id))
+            self.fetch_task = asyncio.create_task(self.fetch_items(digest.host.host_id))
 
-    async def fetch(self, host_id: HostId) -> None:
+    async def fetch_items(self, host_id: HostId) -> None:
         """Fetch items of the store from a peer."""
         address = self.fleet.address_of(host_id)
         if address is None:
             return
-        ask = FetchItems(self.store.catalogue.revision)
-        answer = (await self.peers.call(address, ask)).value_or(None)
+        request = FetchItems(self.store.catalogue.revision)
+        answer = (await self.peers.call(address, request)).value_or(None)
         if isinstance(answer, ItemsReply):
             self.store.take_from_peer(answer)
 
@@ -311,7 +311,7 @@
                     group.create_task(self.fleet.run()),
                     group.create_task(self.orders.run()),
                     group.create_task(self.server.sweep()),
-                    group.create_task(self.tidy()),
+                    group.create_task(self.run_housekeeping()),
                 ]
                 await stop.wait()
                 await self.drain()
@@ -323,7 +323,7 @@
             log.info("stopped", extra={"in_flight": self.server.in_flight})
             self.output.drain()
 
-    async def tidy(self) -> None:
+    async def run_housekeeping(self) -> None:
         """Write what waits in the log, and keep memory from growing in cycles."""
         gc.freeze()
         while True:
@@ -396,27 +396,27 @@
 
     async def drain(self) -> None:
         """Become unready, hand over, and let requests in flight finish."""
-        process_started_at = self.clock.monotonic()
-        grace_s = self.profile.bounds.grace.total_seconds() * LAST_SHARE
+        drain_started_at = self.clock.monotonic()
+        grace_s = self.profile.bounds.grace.total_seconds() * DRAIN_GRACE_SHARE
         log.info("stopping", extra={"in_flight": self.server.in_flight})
         self.is_stopping = True
         self.lease.begin_leaving()
         self.fleet.leave()
-        await asyncio.sleep(min(KEEP_ACCEPTING_S, grace_s / 2))
-        self.server.stops_at = process_started_at + seconds(grace_s)
+        await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, grace_s / 2))
+        self.server.stops_at = drain_started_at + seconds(grace_s)
         self.server.is_closing = True
-        while self.server.in_flight or self.open_connections():
-            taken_s = (self.clock.monotonic() - process_started_at).total_seconds()
-            if taken_s > grace_s - RESIGN_AHEAD_S:
+        while self.server.in_flight or self.has_open_connections():
+            elapsed_s = (self.clock.monotonic() - drain_started_at).total_seconds()
+            if elapsed_s > grace_s - RESIGN_BEFORE_END_S:
                 await self.orders.resign()
-            if taken_s > grace_s:
+            if elapsed_s > grace_s:
                 left = self.server.in_flight
                 log.error("stopped with requests in flight", extra={"in_flight": left})
                 break
-            await asyncio.sleep(CLOSE_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         await self.orders.resign()
 
-    def open_connections(self) -> bool:
+    def has_open_connections(self) -> bool:
         """Return whether callers still have connections that are closed in turn."""
         return bool(self.server.connections)
 
--- a/packages/daemon/src/sardinequay_daemon/settings.py
+++ b/packages/daemon/src/sardinequay_daemon/settings.py
@@ -5,7 +5,7 @@
 
 from sardinequay_core.names import DataCentre, HostId
 
-from .shared_settings import TimingSettings, TraceSettings, ranged
+from .shared_settings import TimingSettings, TraceSettings, ranged_field
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,10 +31,10 @@
 
     in_service_from: datetime
     founders: dict[DataCentre, tuple[GuardEntry, ...]]
-    life_s: float = ranged(600, 1, 86_400)
-    window_s: float = ranged(2, 0.1, 60)
-    lapse_s: float = ranged(7200, 1, 604_800)
-    list_lag_s: float = ranged(60, 0, 3600)
+    life_s: float = ranged_field(600, 1, 86_400)
+    window_s: float = ranged_field(2, 0.1, 60)
+    lapse_s: float = ranged_field(7200, 1, 604_800)
+    list_lag_s: float = ranged_field(60, 0, 3600)
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,10 +51,10 @@
 
     max_in_flight: int = field(default=1024, metadata={"range": (1, 1_000_000)})
     max_body_bytes: int = field(default=1_048_576, metadata={"range": (1024, 1 << 30)})
-    reserved_share: float = ranged(0.25, 0, 1)
-    longest_request_s: float = ranged(120, 0.1, 3600)
-    default_deadline_s: float = ranged(60, 0.1, 3600)
-    retry_ratio: float = ranged(0.1, 0, 1)
+    reserved_share: float = ranged_field(0.25, 0, 1)
+    longest_request_s: float = ranged_field(120, 0.1, 3600)
+    default_deadline_s: float = ranged_field(60, 0.1, 3600)
+    retry_ratio: float = ranged_field(0.1, 0, 1)
     max_attempts: int = field(default=3, metadata={"range": (1, 10)})
 
 
--- a/packages/daemon/src/sardinequay_daemon/settings_check.py
+++ b/packages/daemon/src/sardinequay_daemon/settings_check.py
@@ -21,10 +21,10 @@
 ADDRESS_FIELDS = ("caller_listener", "peer_listener", "operator_listener")
 URL_FIELDS = ("configuration_service", "host_list")
 MAX_SHOWN_CHARS = 80
-LOCATION = re.compile(r" - at `(?P<path>[^`]*)`$")
+ERROR_PATH = re.compile(r" - at `(?P<path>[^`]*)`$")
 
 
-def show(value: object) -> str:
+def format_value(value: object) -> str:
     """Return a value as it is shown in an error."""
     return json.dumps(value, default=str)[:MAX_SHOWN_CHARS]
 
@@ -43,53 +43,53 @@
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
-        place = f"line {error.lineno} column {error.colno}"
-        return Failure(SettingsError(place, "not JSON", error.msg))
-    for unknown in unknown_fields(raw, Settings, ""):
+        position = f"line {error.lineno} column {error.colno}"
+        return Failure(SettingsError(position, "not JSON", error.msg))
+    for unknown in unknown_field_errors(raw, Settings, ""):
         return Failure(unknown)
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
         return Failure(type_error(error, raw))
-    for fault in (*range_faults(settings, ""), *meaning_faults(settings)):
-        return Failure(fault)
+    for field_error in (*range_errors(settings, ""), *consistency_errors(settings)):
+        return Failure(field_error)
     return Success(settings)
 
 
-def dataclass_of(hint: Any) -> type | None:
+def dataclass_in_hint(hint: Any) -> type | None:
     """Return the data class that a type hint stands for, optional or not."""
     options = typing.get_args(hint) if isinstance(hint, types.UnionType) else (hint,)
     return next((o for o in options if is_dataclass(o)), None)  # type: ignore[return-value]
 
 
-def unknown_fields(raw: Any, kind: type, path: str) -> Iterator[SettingsError]:
+def unknown_field_errors(raw: Any, settings_type: type, path: str) -> Iterator[SettingsError]:
     """Yield an error for each field that no setting has."""
     if not isinstance(raw, dict):
         return
-    hints = typing.get_type_hints(kind)
+    hints = typing.get_type_hints(settings_type)
     for name, value in raw.items():
-        where = f"{path}{name}"
+        field_path = f"{path}{name}"
         if name not in hints:
             allowed = "one of " + ", ".join(sorted(hints))
-            yield SettingsError(where, "an unknown field", allowed)
-        elif (inner := dataclass_of(hints[name])) is not None:
-            yield from unknown_fields(value, inner, f"{where}.")
+            yield SettingsError(field_path, "an unknown field", allowed)
+        elif (inner := dataclass_in_hint(hints[name])) is not None:
+            yield from unknown_field_errors(value, inner, f"{field_path}.")
 
 
 def type_error(error: msgspec.ValidationError, raw: Any) -> SettingsError:
     """Turn the decoder's error."""
     message = str(error)
-    found = LOCATION.search(message)
-    path = found["path"].removeprefix("$").removeprefix(".") if found else ""
-    allowed = LOCATION.sub("", message)
+    match = ERROR_PATH.search(message)
+    path = match["path"].removeprefix("$").removeprefix(".") if match else ""
+    allowed = ERROR_PATH.sub("", message)
     missing = re.search(r"missing required field `(?P<name>[^`]*)`", message)
     if missing:
         name = f"{path}.{missing['name']}" if path else missing["name"]
         return SettingsError(name, "missing", "a value; it has no default")
-    return SettingsError(path or "settings", show(look_up(raw, path)), allowed)
+    return SettingsError(path or "settings", format_value(value_at_path(raw, path)), allowed)
 
 
-def look_up(raw: Any, path: str) -> object:
+def value_at_path(raw: Any, path: str) -> object:
     """Return the raw value at a dotted path, as far as it leads."""
     value = raw
     for name in filter(None, path.split(".")):
@@ -98,50 +98,50 @@
     return value
 
 
-def range_faults(value: Any, path: str) -> Iterator[SettingsError]:
+def range_errors(value: Any, path: str) -> Iterator[SettingsError]:
     """Yield an error for each number or choice outside what its field allows."""
-    for spec in fields(value):
-        inner = getattr(value, spec.name)
-        where = f"{path}{spec.name}"
-        if is_dataclass(inner):
-            yield from range_faults(inner, f"{where}.")
+    for field_spec in fields(value):
+        inner_value = getattr(value, field_spec.name)
+        field_path = f"{path}{field_spec.name}"
+        if is_dataclass(inner_value):
+            yield from range_errors(inner_value, f"{field_path}.")
         else:
-            yield from field_faults(spec, inner, where)
+            yield from field_errors(field_spec, inner_value, field_path)
 
 
-def field_faults(spec: Field[Any], value: Any, where: str) -> Iterator[SettingsError]:
+def field_errors(field_spec: Field[Any], value: Any, field_path: str) -> Iterator[SettingsError]:
     """Yield an error if one field is outside its range or choices."""
-    low, high = spec.metadata.get("range", (None, None))
+    low, high = field_spec.metadata.get("range", (None, None))
     if low is not None and not low <= value <= high:
-        yield SettingsError(where, show(value), f"{low} to {high}")
-    choices = spec.metadata.get("choices")
+        yield SettingsError(field_path, format_value(value), f"{low} to {high}")
+    choices = field_spec.metadata.get("choices")
     if choices and value not in choices:
-        yield SettingsError(where, show(value), "one of " + ", ".join(choices))
+        yield SettingsError(field_path, format_value(value), "one of " + ", ".join(choices))
 
 
-def meaning_faults(settings: Settings) -> Iterator[SettingsError]:
+def consistency_errors(settings: Settings) -> Iterator[SettingsError]:
     """Yield an error for each field that does not fit the others."""
     for name in ADDRESS_FIELDS:
         value = getattr(settings, name)
         if not isinstance(parse_address(value), Success):
-            yield SettingsError(name, show(value), "ip:port with an IP number")
+            yield SettingsError(name, format_value(value), "ip:port with an IP number")
     advertised = settings.advertised_peer_address
     if advertised and not isinstance(parse_address(advertised), Success):
-        where, allowed = "advertised_peer_address", "ip:port with an IP number"
-        yield SettingsError(where, show(advertised), allowed)
+        field_path, allowed = "advertised_peer_address", "ip:port with an IP number"
+        yield SettingsError(field_path, format_value(advertised), allowed)
     for name in URL_FIELDS:
         value = getattr(settings, name)
         if not value.startswith(("http://", "https://")):
-            yield SettingsError(name, show(value), "an http:// or https:// address")
+            yield SettingsError(name, format_value(value), "an http:// or https:// address")
     if settings.data_centre not in settings.data_centres:
         allowed = "one of data_centres: " + ", ".join(settings.data_centres)
-        yield SettingsError("data_centre", show(settings.data_centre), allowed)
-    yield from trust_faults(settings)
-    yield from claim_faults(settings)
-    yield from timing_faults(settings)
+        yield SettingsError("data_centre", format_value(settings.data_centre), allowed)
+    yield from trust_errors(settings)
+    yield from claim_errors(settings)
+    yield from timing_errors(settings)
 
 
-def trust_faults(settings: Settings) -> Iterator[SettingsError]:
+def trust_errors(settings: Settings) -> Iterator[SettingsError]:
     """Yield errors of the approvers' keys and the threshold."""
     trust = settings.trust
     for key_id, public in trust.keys.items():
@@ -149,23 +149,23 @@
             Ed25519PublicKey.from_public_bytes(bytes.fromhex(public))
         except ValueError:
             allowed = "an Ed25519 public key as 64 hexadecimal digits"
-            yield SettingsError(f"trust.keys.{key_id}", show(public), allowed)
+            yield SettingsError(f"trust.keys.{key_id}", format_value(public), allowed)
     low, high = len(trust.keys) // 2 + 1, len(trust.keys)
     if not low <= trust.threshold <= high:
         allowed = f"more than half of the {high} keys: {low} to {high}"
-        yield SettingsError("trust.threshold", show(trust.threshold), allowed)
+        yield SettingsError("trust.threshold", format_value(trust.threshold), allowed)
 
 
-def claim_faults(settings: Settings) -> Iterator[SettingsError]:
+def claim_errors(settings: Settings) -> Iterator[SettingsError]:
     """Yield errors of the founding guards and the moment of service."""
     claims = settings.claims
     if claims.in_service_from.tzinfo is None:
-        value = show(claims.in_service_from)
+        value = format_value(claims.in_service_from)
         yield SettingsError("claims.in_service_from", value, "a time with its zone")
-    least_s = settings.limits.longest_request_s + claims.window_s
-    if claims.life_s <= least_s:
-        allowed = f"above limits.longest_request_s and claims.window_s, {least_s}"
-        yield SettingsError("claims.life_s", show(claims.life_s), allowed)
+    minimum_s = settings.limits.longest_request_s + claims.window_s
+    if claims.life_s <= minimum_s:
+        allowed = f"above limits.longest_request_s and claims.window_s, {minimum_s}"
+        yield SettingsError("claims.life_s", format_value(claims.life_s), allowed)
     for name in settings.data_centres:
         if not claims.founders.get(name):
             allowed = "at least one founding guard for each of data_centres"
@@ -173,17 +173,17 @@
     for name, guards in claims.founders.items():
         for guard in guards:
             if not isinstance(parse_address(guard.address), Success):
-                where = f"claims.founders.{name}.{guard.host_id}"
-                yield SettingsError(where, show(guard.address), "ip:port")
+                field_path = f"claims.founders.{name}.{guard.host_id}"
+                yield SettingsError(field_path, format_value(guard.address), "ip:port")
 
 
-def timing_faults(settings: Settings) -> Iterator[SettingsError]:
+def timing_errors(settings: Settings) -> Iterator[SettingsError]:
     """Yield errors of durations that must exceed one another."""
     timing, limits = settings.timing, settings.limits
     if timing.lease_s <= 2 * timing.report_s:
         allowed = f"more than twice timing.report_s, which is {timing.report_s}"
-        yield SettingsError("timing.lease_s", show(timing.lease_s), allowed)
+        yield SettingsError("timing.lease_s", format_value(timing.lease_s), allowed)
     if limits.default_deadline_s > limits.longest_request_s:
         allowed = f"at most limits.longest_request_s, {limits.longest_request_s}"
-        value = show(limits.default_deadline_s)
+        value = format_value(limits.default_deadline_s)
         yield SettingsError("limits.default_deadline_s", value, allowed)
--- a/packages/daemon/src/sardinequay_daemon/shared_settings.py
+++ b/packages/daemon/src/sardinequay_daemon/shared_settings.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 
-def ranged(default: float, low: float, high: float) -> Any:
+def ranged_field(default: float, low: float, high: float) -> Any:
     """Declare a number with its default and the range that is allowed."""
     return field(default=default, metadata={"range": (low, high)})
 
@@ -13,19 +13,19 @@
 class TimingSettings:
     """Periods and bounds between the system's own processes."""
 
-    gossip_s: float = ranged(0.5, 0.05, 60)
-    suspect_s: float = ranged(2, 0.1, 600)
-    lease_s: float = ranged(10, 0.5, 600)
-    report_s: float = ranged(0.5, 0.05, 60)
-    report_lag_s: float = ranged(2, 0, 60)
-    call_timeout_s: float = ranged(1, 0.05, 60)
-    silence_s: float = ranged(3, 0.2, 600)
-    connect_timeout_s: float = ranged(1, 0.05, 60)
-    platform_wait_s: float = ranged(10, 0.1, 600)
-    list_confirm_s: float = ranged(60, 0.1, 3600)
-    join_wait_s: float = ranged(5, 0, 600)
-    shutdown_s: float = ranged(130, 0, 3600)
-    leave_notice_s: float = ranged(1, 0, 60)
+    gossip_s: float = ranged_field(0.5, 0.05, 60)
+    suspect_s: float = ranged_field(2, 0.1, 600)
+    lease_s: float = ranged_field(10, 0.5, 600)
+    report_s: float = ranged_field(0.5, 0.05, 60)
+    report_lag_s: float = ranged_field(2, 0, 60)
+    call_timeout_s: float = ranged_field(1, 0.05, 60)
+    silence_s: float = ranged_field(3, 0.2, 600)
+    connect_timeout_s: float = ranged_field(1, 0.05, 60)
+    platform_wait_s: float = ranged_field(10, 0.1, 600)
+    list_confirm_s: float = ranged_field(60, 0.1, 3600)
+    join_wait_s: float = ranged_field(5, 0, 600)
+    shutdown_s: float = ranged_field(130, 0, 3600)
+    leave_notice_s: float = ranged_field(1, 0, 60)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,4 +40,4 @@
 
     otlp: str = ""
     file: str = ""
-    sample: float = ranged(1, 0, 1)
+    sample: float = ranged_field(1, 0, 1)
--- a/packages/daemon/src/sardinequay_daemon/tls.py
+++ b/packages/daemon/src/sardinequay_daemon/tls.py
@@ -13,7 +13,7 @@
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    load(context, tls)
+    load_certificates(context, tls)
     if tls.authority:
         context.verify_mode = ssl.CERT_REQUIRED
     return context
@@ -26,11 +26,11 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     # Peers are named by IP numbers that change; the authority vouches for them.
     context.check_hostname = False
-    load(context, tls)
+    load_certificates(context, tls)
     return context
 
 
-def load(context: ssl.SSLContext, tls: TlsSettings) -> None:
+def load_certificates(context: ssl.SSLContext, tls: TlsSettings) -> None:
     """Load the key, the certificate and the authority."""
     try:
         context.load_cert_chain(tls.certificate, tls.key)
--- a/packages/daemon/src/sardinequay_daemon/lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/use_lease_task.py
@@ -50,7 +50,7 @@
 log = logging.getLogger(__name__)
 
 
-class LeaseTask:
+class UseLeaseTask:
     """Owns this host's use leases."""
 
     def __init__(
@@ -70,125 +70,125 @@
         self.timing = timing
         self.clock = clock
         self.metrics = metrics
-        self.table = LeaseTable()
+        self.lease_table = LeaseTable()
         self.roster = EMPTY_ROSTER
         self.targets: dict[TargetId, Target] = {}
         self.members: tuple[Member, ...] = ()
-        self.loads: dict[TargetId, EngineLoad] = {}
-        self.avoided: dict[DataCentre, Instant] = {}
+        self.engine_loads: dict[TargetId, EngineLoad] = {}
+        self.avoided_data_centres: dict[DataCentre, Instant] = {}
         self.avoided_targets: dict[TargetId, Instant] = {}
         self.acquiring: dict[AdapterRef, asyncio.Task[bool]] = {}
         self.sending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Renew leases for good."""
-        await every(self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_all)
+        await every(self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_leases)
 
-    def take_roster(self, roster: Roster) -> None:
+    def apply_roster(self, roster: Roster) -> None:
         """Take the list; targets that leave get no new work from now on."""
         self.roster = roster
         self.targets = {t.target_id: t for t in roster.targets}
-        for use, _ in self.table.held():
+        for use, _ in self.lease_table.held():
             target = self.targets.get(use.target)
             if target is None or target.presence is Presence.LEAVING:
-                self.table.recall(use)
+                self.lease_table.recall(use)
 
-    def take_members(self, members: tuple[Member, ...]) -> None:
+    def apply_members(self, members: tuple[Member, ...]) -> None:
         """Take who is alive in this data centre."""
         self.members = members
 
     # Choosing a lease for one request.
 
-    def best(self, adapter: AdapterRef) -> Use | None:
+    def best_lease(self, adapter: AdapterRef) -> Use | None:
         """Return the usable lease on the least busy engine."""
         now = self.clock.monotonic()
         usable = [
             use
-            for use in self.table.usable(adapter, now)
+            for use in self.lease_table.usable(adapter, now)
             if self.avoided_targets.get(use.target, now) <= now
         ]
-        return min(usable, key=self.busyness, default=None)
+        return min(usable, key=self.load_key, default=None)
 
-    def busyness(self, use: Use) -> tuple[int, int, Use]:
+    def load_key(self, use: Use) -> tuple[int, int, Use]:
         """Return how busy an engine is, by its last report and our own requests."""
-        load = self.loads.get(use.target)
-        held = self.table.leases[use]
-        reported = load.waiting if load else 0
+        engine_load = self.engine_loads.get(use.target)
+        held = self.lease_table.leases[use]
+        reported = engine_load.waiting if engine_load else 0
         return reported, held.in_flight, use
 
-    def avoid(self, target: TargetId) -> None:
+    def avoid_target(self, target: TargetId) -> None:
         """Send nothing new to a target for a while, because a request failed there."""
         self.avoided_targets[target] = self.clock.monotonic() + AVOID_FOR
 
-    async def obtain(
+    async def obtain_lease(
         self, pool: PoolName, adapter: AdapterRef, deadline: Instant
     ) -> Result[Use, Refusal]:
         """Return a usable lease, waiting for a load if need be."""
-        began = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         while True:
-            use = self.best(adapter)
+            use = self.best_lease(adapter)
             if use is not None:
-                self.observe_stall(began)
+                self.observe_stall(started_at)
                 return Success(use)
             now = self.clock.monotonic()
             if now >= deadline:
                 message = "the deadline passed before the adapter was loaded"
                 return Failure(not_run(Reason.DEADLINE_EXPIRED, message))
-            if await self.acquire(pool, adapter):
+            if await self.acquire_leases(pool, adapter):
                 continue
             refusal = await self.wait_for_load(pool, adapter, deadline)
             if refusal is not None:
                 return Failure(refusal)
 
-    def observe_stall(self, began: Instant) -> None:
+    def observe_stall(self, started_at: Instant) -> None:
         """Count how long a request waited, if it did."""
-        waited = self.clock.monotonic() - began
+        waited = self.clock.monotonic() - started_at
         if waited > timedelta(milliseconds=5):
             self.metrics.load_stall.observe({}, waited.total_seconds())
 
-    async def acquire(self, pool: PoolName, adapter: AdapterRef) -> bool:
+    async def acquire_leases(self, pool: PoolName, adapter: AdapterRef) -> bool:
         """Ask for leases, once for all requests that ask at the same time."""
         task = self.acquiring.get(adapter)
         if task is None:
-            task = asyncio.create_task(self.acquire_now(pool, adapter))
+            task = asyncio.create_task(self.request_leases(pool, adapter))
             self.acquiring[adapter] = task
             task.add_done_callback(lambda _: self.acquiring.pop(adapter, None))
         return await asyncio.shield(task)
 
-    async def acquire_now(self, pool: PoolName, adapter: AdapterRef) -> bool:
+    async def request_leases(self, pool: PoolName, adapter: AdapterRef) -> bool:
         """Ask the keeper in the adapter's home; return whether it gave a lease."""
-        sequence = self.table.next_sequence()
+        sequence = self.lease_table.next_sequence()
         asked_at = self.clock.monotonic()
 
         def message(keepership: Keepership) -> Acquire:
             address = str(self.address)
             return Acquire(keepership, self.holder, address, adapter, sequence)
 
-        answer = await self.ask_home(pool, adapter, message, None)
+        answer = await self.request_from_home(pool, adapter, message, None)
         if not isinstance(answer, Granted):
             return False
-        self.take_granted(answer, asked_at, sequence)
-        return self.best(adapter) is not None
+        self.record_granted_leases(answer, asked_at, sequence)
+        return self.best_lease(adapter) is not None
 
-    def take_granted(self, granted: Granted, asked_at: Instant, sequence: int) -> None:
+    def record_granted_leases(self, granted: Granted, asked_at: Instant, sequence: int) -> None:
         """Take leases, each counted from before it was asked for."""
         for grant in granted.uses:
             until = asked_at + timedelta(seconds=grant.lasts_s)
-            self.table.grant(grant.use, until, sequence)
+            self.lease_table.grant(grant.use, until, sequence)
         for load in granted.loads:
-            self.loads[load.target] = load
+            self.engine_loads[load.target] = load
 
     async def wait_for_load(
         self, pool: PoolName, adapter: AdapterRef, deadline: Instant
     ) -> Refusal | None:
         """Wait until the adapter is loaded; return a refusal if it will not be."""
-        wait = deadline - self.clock.monotonic()
-        wait_s = wait.total_seconds()
+        remaining = deadline - self.clock.monotonic()
+        wait_s = remaining.total_seconds()
 
         def message(keepership: Keepership) -> Want:
             return Want(keepership, self.holder, adapter, wait_s)
 
-        answer = await self.ask_home(pool, adapter, message, wait_s)
+        answer = await self.request_from_home(pool, adapter, message, wait_s)
         if isinstance(answer, Wanted) and answer.loaded:
             return None
         if isinstance(answer, Wanted):
@@ -202,32 +202,32 @@
 
     # Finding keepers.
 
-    async def ask_home(
+    async def request_from_home(
         self,
         pool: PoolName,
         adapter: AdapterRef,
-        make: MessageMaker,
+        make_message: MessageMaker,
         timeout_s: float | None,
     ) -> Granted | Wanted | None:
         """Ask the keeper in the adapter's home, or the next one that can be reached."""
-        for data_centre in self.homes(pool, adapter):
+        for data_centre in self.home_data_centres(pool, adapter):
             keepership = Keepership(pool, data_centre)
-            answer = await self.ask_keeper(keepership, make(keepership), timeout_s)
+            answer = await self.request_from_keeper(keepership, make_message(keepership), timeout_s)
             if isinstance(answer, Granted | Wanted):
                 return answer
-            self.avoided[data_centre] = self.clock.monotonic() + AVOID_FOR
+            self.avoided_data_centres[data_centre] = self.clock.monotonic() + AVOID_FOR
         return None
 
-    def homes(self, pool: PoolName, adapter: AdapterRef) -> list[DataCentre]:
+    def home_data_centres(self, pool: PoolName, adapter: AdapterRef) -> list[DataCentre]:
         """Return data centres in the order of the adapter, unreachable ones last."""
         weights: dict[str, float] = {}
         for target in live_engines(self.roster, pool):
             weights[target.data_centre] = weights.get(target.data_centre, 0) + 1
         now = self.clock.monotonic()
         ranked = [DataCentre(n) for n in rank_weighted(str(adapter), weights)]
-        return sorted(ranked, key=lambda dc: self.avoided.get(dc, now) > now)
+        return sorted(ranked, key=lambda dc: self.avoided_data_centres.get(dc, now) > now)
 
-    def keepers(self, keepership: Keepership) -> Iterator[Address]:
+    def keeper_candidates(self, keepership: Keepership) -> Iterator[Address]:
         """Yield hosts to ask, the likely keeper first."""
         local = keepership.data_centre == self.data_centre
         hosts: dict[str, Address] = {}
@@ -240,14 +240,14 @@
         ranked = keeper_rank(keepership.pool, keepership.data_centre, list(hosts))
         yield from (hosts[name] for name in ranked[:KEEPERS_ASKED])
 
-    async def ask_keeper(
+    async def request_from_keeper(
         self,
         keepership: Keepership,
         message: Acquire | Want | Renew | GiveBack,
         timeout_s: float | None,
     ) -> object:
         """Ask likely keepers until one is it."""
-        for address in self.keepers(keepership):
+        for address in self.keeper_candidates(keepership):
             answer = await self.peers.call(address, message, timeout_s)
             if isinstance(answer, Success) and not isinstance(
                 answer.unwrap(), NotKeeper
@@ -262,65 +262,65 @@
         target = self.targets.get(use.target)
         return Keepership(target.pool, target.data_centre) if target else None
 
-    async def renew_all(self) -> None:
+    async def renew_leases(self) -> None:
         """Renew all leases, one message to each keeper."""
-        self.table.expire(self.clock.monotonic())
-        held = [(k, u, n) for u, n in self.table.held() if (k := self.keepership_of(u))]
+        self.lease_table.expire(self.clock.monotonic())
+        held = [(k, u, n) for u, n in self.lease_table.held() if (k := self.keepership_of(u))]
         held.sort(key=lambda item: (item[0].pool, item[0].data_centre))
-        asks = [
-            self.renew(keepership, [(use, count) for _, use, count in group])
+        renewals = [
+            self.renew_with_keeper(keepership, [(use, count) for _, use, count in group])
             for keepership, group in groupby(held, key=lambda item: item[0])
         ]
-        await asyncio.gather(*asks)
+        await asyncio.gather(*renewals)
 
-    async def renew(self, keepership: Keepership, uses: list[tuple[Use, int]]) -> None:
+    async def renew_with_keeper(self, keepership: Keepership, uses: list[tuple[Use, int]]) -> None:
         """Renew leases with one keeper; what it does not renew is recalled."""
-        sequence = self.table.next_sequence()
+        sequence = self.lease_table.next_sequence()
         asked_at = self.clock.monotonic()
         address = str(self.address)
         message = Renew(keepership, self.holder, address, tuple(uses), sequence)
-        answer = await self.ask_keeper(keepership, message, None)
+        answer = await self.request_from_keeper(keepership, message, None)
         if not isinstance(answer, Granted):
             return
-        self.take_granted(answer, asked_at, sequence)
+        self.record_granted_leases(answer, asked_at, sequence)
         renewed = {grant.use for grant in answer.uses}
         for use, _ in uses:
-            if use not in renewed and not self.table.recall(use):
-                self.give_back(use)
+            if use not in renewed and not self.lease_table.recall(use):
+                self.return_lease(use)
 
-    async def answer_recall(self, message: Recall) -> Recalled:
+    async def handle_recall(self, message: Recall) -> Recalled:
         """Stop using an adapter on an engine because its keeper asks."""
-        in_flight = self.table.recall(message.use)
-        return Recalled(in_flight, self.table.next_sequence())
+        in_flight = self.lease_table.recall(message.use)
+        return Recalled(in_flight, self.lease_table.next_sequence())
 
-    def begin(self, use: Use) -> bool:
+    def begin_request(self, use: Use) -> bool:
         """Count a request in, right before its bytes leave."""
-        return self.table.begin(use, self.clock.monotonic())
+        return self.lease_table.begin(use, self.clock.monotonic())
 
-    def end(self, use: Use) -> None:
+    def end_request(self, use: Use) -> None:
         """Count a request out, and return the lease if it was recalled."""
-        if self.table.end(use):
-            self.give_back(use)
+        if self.lease_table.end(use):
+            self.return_lease(use)
 
-    def give_back(self, use: Use) -> None:
+    def return_lease(self, use: Use) -> None:
         """Tell the keeper that a lease is returned, without waiting."""
         keepership = self.keepership_of(use)
         if keepership is None:
             return
-        sequence = self.table.next_sequence()
+        sequence = self.lease_table.next_sequence()
         message = GiveBack(keepership, self.holder, use, sequence)
-        task = asyncio.create_task(self.send(keepership, message))
+        task = asyncio.create_task(self.send_return(keepership, message))
         self.sending.add(task)
         task.add_done_callback(self.sending.discard)
 
-    async def send(self, keepership: Keepership, message: GiveBack) -> None:
+    async def send_return(self, keepership: Keepership, message: GiveBack) -> None:
         """Send a return; if it is lost the lease runs out."""
-        await self.ask_keeper(keepership, message, None)
+        await self.request_from_keeper(keepership, message, None)
 
-    async def give_back_all(self) -> None:
+    async def return_idle_leases(self) -> None:
         """Return every lease that no request runs on, when the host stops."""
-        for use, in_flight in self.table.held():
+        for use, in_flight in self.lease_table.held():
             if not in_flight:
-                self.table.drop(use)
-                self.give_back(use)
+                self.lease_table.drop(use)
+                self.return_lease(use)
         await asyncio.gather(*self.sending)
--- a/packages/daemon/tests/conftest.py
+++ b/packages/daemon/tests/conftest.py
@@ -19,7 +19,7 @@
 ]
 
 
-class TurnedClock:
+class ManualClock:
     """A clock that stands still until it is turned."""
 
     def __init__(self) -> None:
@@ -36,8 +36,8 @@
 
 
 @pytest.fixture
-def clock() -> TurnedClock:
-    return TurnedClock()
+def clock() -> ManualClock:
+    return ManualClock()
 
 
 @pytest.fixture
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -26,7 +26,7 @@
 from sardinequay_daemon.guarded_run import GuardedRun
 from sardinequay_daemon.progress import Refused
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 FATAL = ContentId("fatal")
 HOSTS = tuple(HostId(f"h{n}") for n in range(4))
@@ -76,7 +76,7 @@
 
 
 @pytest.fixture
-def net(clock: TurnedClock) -> Net:
+def net(clock: ManualClock) -> Net:
     made = Net()
     for host_id in HOSTS:
         made.guards.append(
@@ -226,5 +226,5 @@
         other.refuse_held(run())
 
 
-def broken_end(clock: TurnedClock) -> TargetEnd:
+def broken_end(clock: ManualClock) -> TargetEnd:
     return TargetEnd(TargetId("e1"), 1, clock.monotonic())
--- a/packages/daemon/tests/test_content_spread.py
+++ b/packages/daemon/tests/test_content_spread.py
@@ -23,7 +23,7 @@
 from sardinequay_daemon.content_spread import ContentSpread
 from sardinequay_daemon.errors import PeerError
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 FATAL = ContentId("fatal")
 
@@ -71,7 +71,7 @@
 
 
 @pytest.fixture
-def net(clock: TurnedClock) -> Net:
+def net(clock: ManualClock) -> Net:
     made = Net()
     for number in (1, 2, 3):
         quarantine = Quarantine()
--- a/packages/daemon/tests/test_decision_log.py
+++ b/packages/daemon/tests/test_decision_log.py
@@ -16,7 +16,7 @@
     BoundedOutput,
 )
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
 
 
 @pytest.fixture
-def output(clock: TurnedClock, pipe) -> BoundedOutput:
+def output(clock: ManualClock, pipe) -> BoundedOutput:
     made = BoundedOutput(clock, pipe[1])
     made.setFormatter(JsonFormatter(FIELDS, rename_fields=RENAMED))
     return made
@@ -94,7 +94,7 @@
     assert [x["n"] for x in lines] == list(range(60))
 
 
-def test_closed_reader_is_no_error(clock: TurnedClock) -> None:
+def test_closed_reader_is_no_error(clock: ManualClock) -> None:
     reading, writing = os.pipe()
     made = BoundedOutput(clock, writing)
     os.close(reading)
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -12,7 +12,7 @@
 from sardinequay_daemon.peers import PeerCaller
 from sardinequay_daemon.serving_messages import Contact, Digest
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 ME = Contact(HostId("h1"), "za", "127.0.0.1:1")
 FOREVER = float("inf")
@@ -38,7 +38,7 @@
 
 
 @pytest.fixture
-def fleet(clock: TurnedClock, metrics, timing) -> FleetTask:
+def fleet(clock: ManualClock, metrics, timing) -> FleetTask:
     caller = PeerCaller(timing, metrics, "127.0.0.1")
     seeds = (parse_address("127.0.0.1:12").unwrap(),)
     return FleetTask(
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -51,7 +51,7 @@
 )
 from sardinequay_daemon.store_task import FRESH_PEER_S, StoreStanding
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 STEP_S = 0.1
 DATA_CENTRES = ("za", "zb", "zc", "zd", "ze")
@@ -98,7 +98,7 @@
     def peer_holdings_snapshot(self, _) -> tuple[EngineHoldings, ...]:
         return tuple(self.heard.values())
 
-    def hear_holdings(self, holdings: EngineHoldings) -> None:
+    def record_peer_holdings(self, holdings: EngineHoldings) -> None:
         self.heard[holdings.target] = holdings
 
 
@@ -152,7 +152,7 @@
 class World:
     """All hosts, and the calls between them."""
 
-    def __init__(self, hosts: int, clock: TurnedClock) -> None:
+    def __init__(self, hosts: int, clock: ManualClock) -> None:
         self.clock = clock
         seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
         self.hosts = [Host(n, clock, seeds) for n in range(hosts)]
@@ -222,7 +222,7 @@
         return next(h for h in self.live(data_centre) if h.orders.lease.is_holder)
 
 
-def settled(hosts: int, clock: TurnedClock) -> World:
+def settled(hosts: int, clock: ManualClock) -> World:
     """Return a fleet that has found itself and chosen holders."""
     world = World(hosts, clock)
     world.pass_time(3)
@@ -232,7 +232,7 @@
 
 
 @pytest.fixture
-def world(clock: TurnedClock) -> World:
+def world(clock: ManualClock) -> World:
     return settled(50, clock)
 
 
@@ -390,7 +390,7 @@
     assert reborn.fleet.live_hosts == 50
 
 
-def test_all_hosts_restarted_at_once_find_one_another(clock: TurnedClock) -> None:
+def test_all_hosts_restarted_at_once_find_one_another(clock: ManualClock) -> None:
     world = settled(50, clock)
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     world.hosts = [Host(n, clock, seeds) for n in range(50)]
@@ -640,7 +640,7 @@
 
 
 def test_host_that_has_just_started_takes_a_small_part_of_the_repeats(
-    clock: TurnedClock,
+    clock: ManualClock,
 ) -> None:
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     host = Host(7, clock, seeds)
--- a/packages/daemon/tests/test_order_lease_task.py
+++ b/packages/daemon/tests/test_order_lease_task.py
@@ -8,7 +8,7 @@
 from sardinequay_core.order_lease import Ballot, OrderPolicy, token_bound
 from sardinequay_daemon.order_lease_task import OrderLeaseTask
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 
 class Fleet:
@@ -48,7 +48,7 @@
 POLICY = OrderPolicy(lease=seconds(LEASE_S), quiet=seconds(QUIET_S))
 
 
-def started(clock: TurnedClock, imports_s: float, is_first_start: bool):
+def started(clock: ManualClock, imports_s: float, is_first_start: bool):
     process_started_at = clock.monotonic()
     clock.turn(imports_s)
     me = HostId("h1")
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -30,7 +30,7 @@
     make_config,
 )
 from sardinequay_daemon.order_task import OrderTask
-from sardinequay_daemon.ordered_engine import ManagedEngine
+from sardinequay_daemon.managed_engine import ManagedEngine
 from sardinequay_daemon.serving_messages import AdapterMissing
 from sardinequay_daemon.serving_metrics import ServingMetrics
 from sardinequay_daemon.serving_ports import OrderAccepted
--- a/packages/daemon/tests/test_settings.py
+++ b/packages/daemon/tests/test_settings.py
@@ -9,15 +9,15 @@
 from sardinequay_daemon.settings_check import parse_settings
 
 
-def spoil(raw: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
+def with_changed_field(raw: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
     *parents, last = path.split(".")
-    inner = raw
+    section = raw
     for name in parents:
-        inner = inner.setdefault(name, {})
+        section = section.setdefault(name, {})
     if value is ...:
-        del inner[last]
+        del section[last]
     else:
-        inner[last] = value
+        section[last] = value
     return raw
 
 
@@ -55,7 +55,7 @@
 def test_bad_settings_are_refused(
     raw_settings: dict[str, Any], path: str, value: Any, snapshot: Any
 ) -> None:
-    error = parse_settings(json.dumps(spoil(raw_settings, path, value))).failure()
+    error = parse_settings(json.dumps(with_changed_field(raw_settings, path, value))).failure()
     assert str(error) == snapshot
 
 
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -22,7 +22,7 @@
 from sardinequay_daemon.serving_ports import StoreItem, StoreRead
 from sardinequay_daemon.store_task import StoreTask, head_start_s
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 
 def item(version: int, revision: int) -> StoreItem:
@@ -81,7 +81,7 @@
 
 
 @pytest.fixture
-def task(scripted, clock: TurnedClock, peers, monkeypatch) -> StoreTask:
+def task(scripted, clock: ManualClock, peers, monkeypatch) -> StoreTask:
     monkeypatch.setattr("sardinequay_daemon.store_task.BATCH_PAUSE_S", 0)
     monkeypatch.setattr("sardinequay_daemon.store_task.RETRY_S", (0,))
     return StoreTask(
@@ -111,7 +111,7 @@
 
 
 async def test_what_a_peer_tells_ends_a_listing_that_takes_long(
-    clock: TurnedClock, peers
+    clock: ManualClock, peers
 ) -> None:
     # All hosts had been killed at once. A listing with a configuration of a megabyte
     # took longer than its bound on links of 5 Mbit/s, and kept what peers told, a tenth
@@ -130,7 +130,7 @@
 
 
 async def test_host_that_starts_again_hears_its_peers_first(
-    scripted, clock: TurnedClock, peers
+    scripted, clock: ManualClock, peers
 ) -> None:
     task = StoreTask(
         scripted,
@@ -293,7 +293,7 @@
 
 
 async def test_peers_are_told_of_renewed_entries_now_and_then(
-    task: StoreTask, scripted: ScriptedStore, clock: TurnedClock
+    task: StoreTask, scripted: ScriptedStore, clock: ManualClock
 ) -> None:
     # 30 engines renew their entries each second or so, and 87 hosts fetched them four
     # times a second.
@@ -314,7 +314,7 @@
 
 
 async def test_peers_are_told_of_a_changed_entry_at_once(
-    task: StoreTask, scripted: ScriptedStore, clock: TurnedClock
+    task: StoreTask, scripted: ScriptedStore, clock: ManualClock
 ) -> None:
     scripted.answers = [
         read(entry(1, 5), revision=5),
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -51,7 +51,7 @@
 from sardinequay_daemon.serving_ports import RequestTerms
 from sardinequay_daemon.target_picker import MAX_FAILED_ASKS, TargetPicker
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 POOL = PoolName("lm")
 ROUTE = Route(
@@ -116,7 +116,7 @@
 
 
 @pytest.fixture
-def state(clock: TurnedClock, monkeypatch: pytest.MonkeyPatch) -> RelayState:
+def state(clock: ManualClock, monkeypatch: pytest.MonkeyPatch) -> RelayState:
     made = RelayState("za", clock, Random(1), RepeatPolicy(), Fleet())
     keeper = Keeper(HostId("h1"), 0.0, is_self=True)
     monkeypatch.setattr(
@@ -135,7 +135,7 @@
 FOUR_SECONDS = seconds(4)
 
 
-def exchange(clock: TurnedClock, adapter: str, wait: timedelta = FOUR_SECONDS):
+def exchange(clock: ManualClock, adapter: str, wait: timedelta = FOUR_SECONDS):
     now = clock.monotonic()
     return Exchange(
         terms=RequestTerms("r1", "m", f"m/{adapter}", 2000, wait),
--- a/packages/lab/tests/test_ports.py
+++ b/packages/lab/tests/test_ports.py
@@ -14,7 +14,7 @@
 from sardinequay_core.leases import Use
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.roster import Target, TargetKind
-from sardinequay_daemon.engines import EngineRequest, HttpEngines, events_of
+from sardinequay_daemon.engine_client import EngineRequest, HttpEngineClient, read_events
 from sardinequay_daemon.errors import TargetError, TargetFault
 from sardinequay_daemon.metrics import Metrics
 from sardinequay_daemon.platform import (
@@ -133,8 +133,8 @@
 
 
 @pytest.fixture
-def engines(session: aiohttp.ClientSession) -> HttpEngines:
-    return HttpEngines(session, session, silence_s=1, order_timeout_s=5)
+def engines(session: aiohttp.ClientSession) -> HttpEngineClient:
+    return HttpEngineClient(session, session, silence_s=1, order_timeout_s=5)
 
 
 def use(engine: Target, adapter: AdapterRef = X) -> Use:
@@ -147,7 +147,7 @@
 
 
 async def test_orders_change_what_an_engine_reports(
-    engine: Target, engines: HttpEngines
+    engine: Target, engines: HttpEngineClient
 ) -> None:
     await engines.load(engine, use(engine), 5)
     report = (await engines.report(engine)).unwrap()
@@ -157,7 +157,7 @@
 
 
 async def test_old_token_is_refused_as_such(
-    engine: Target, engines: HttpEngines
+    engine: Target, engines: HttpEngineClient
 ) -> None:
     await engines.load(engine, use(engine), 5)
     answer = await engines.unload(engine, use(engine), 4)
@@ -165,15 +165,15 @@
 
 
 async def test_stream_is_whole_and_resumes_after_any_event(
-    engine: Target, engines: HttpEngines
+    engine: Target, engines: HttpEngineClient
 ) -> None:
     await engines.load(engine, use(engine), 1)
-    async with engines.start(engine.address, request()) as answer:
+    async with engines.send_request(engine.address, request()) as answer:
         assert answer.headers["X-Adapter"] == "x@1"
-        whole = b"".join([part.data async for part in events_of(answer)])
+        whole = b"".join([part.data async for part in read_events(answer)])
     assert whole.count(b"id: ") == 6
-    async with engines.resume(engine.address, "r1", 4) as answer:
-        rest = b"".join([part.data async for part in events_of(answer)])
+    async with engines.resume_stream(engine.address, "r1", 4) as answer:
+        rest = b"".join([part.data async for part in read_events(answer)])
     assert whole.endswith(rest)
     assert rest.startswith(b"id: 5")
     texts = [
@@ -187,34 +187,34 @@
     [("gone@1", TargetFault.NOT_LOADED, True)],
 )
 async def test_adapter_that_is_not_loaded_proves_not_run(
-    engine: Target, engines: HttpEngines, model: str, fault: TargetFault, proves: bool
+    engine: Target, engines: HttpEngineClient, model: str, fault: TargetFault, proves: bool
 ) -> None:
     with pytest.raises(TargetError) as caught:
-        async with engines.start(engine.address, request(model)):
+        async with engines.send_request(engine.address, request(model)):
             pass
     assert (caught.value.fault, caught.value.proves_not_run) == (fault, proves)
 
 
-async def test_unreachable_engine_proves_not_run(engines: HttpEngines) -> None:
+async def test_unreachable_engine_proves_not_run(engines: HttpEngineClient) -> None:
     with pytest.raises(TargetError) as caught:
-        async with engines.start(Address("127.0.0.1", 1), request()):
+        async with engines.send_request(Address("127.0.0.1", 1), request()):
             pass
     assert caught.value.fault is TargetFault.NOT_SENT
 
 
 async def test_unreachable_engine_proves_nothing_of_a_run_that_began(
-    engines: HttpEngines,
+    engines: HttpEngineClient,
 ) -> None:
     # Found in a trial with a restarted engine: the engine was down when a stream was to
     # be opened again, which was taken for a proof that the request had not run.
     with pytest.raises(TargetError) as caught:
-        async with engines.resume(Address("127.0.0.1", 1), "r1", 0):
+        async with engines.resume_stream(Address("127.0.0.1", 1), "r1", 0):
             pass
     assert not caught.value.proves_not_run
 
 
 async def test_engine_that_closes_without_answer_proves_nothing(
-    engines: HttpEngines,
+    engines: HttpEngineClient,
 ) -> None:
     async def close(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(10)
@@ -223,17 +223,17 @@
     server = await asyncio.start_server(close, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     with pytest.raises(TargetError) as caught:
-        async with engines.start(Address("127.0.0.1", port), request()):
+        async with engines.send_request(Address("127.0.0.1", port), request()):
             pass
     server.close()
     assert not caught.value.proves_not_run
 
 
 async def test_cancelled_request_leaves_the_batch(
-    engine: Target, engines: HttpEngines
+    engine: Target, engines: HttpEngineClient
 ) -> None:
     await engines.load(engine, use(engine), 1)
-    async with engines.start(engine.address, request(tokens=4000)):
+    async with engines.send_request(engine.address, request(tokens=4000)):
         await engines.cancel(engine.address, "r1")
     report = (await engines.report(engine)).unwrap()
     assert (report.running, report.waiting, report.in_use) == (0, 0, ())
@@ -247,9 +247,9 @@
 
     server = await asyncio.start_server(swallow, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    engines = HttpEngines(session, session, silence_s=0.2, order_timeout_s=5)
+    engines = HttpEngineClient(session, session, silence_s=0.2, order_timeout_s=5)
     with pytest.raises(TargetError) as caught:
-        async with engines.start(Address("127.0.0.1", port), request()):
+        async with engines.send_request(Address("127.0.0.1", port), request()):
             pass
     server.close()
     assert caught.value.fault is TargetFault.BROKEN
