--- a/packages/daemon/src/sardinequay_daemon/errors.py
+++ b/packages/daemon/src/sardinequay_daemon/errors.py
@@ -42,12 +42,12 @@
 class PlatformError(DaemonError):
     """A read of the platform's services that got no usable answer."""
 
-    what: str
+    service: str
     detail: str
     is_history_gone: bool = False
 
     def __str__(self) -> str:
-        return f"{self.what}: {self.detail}"
+        return f"{self.service}: {self.detail}"
 
 
 class ConnectionLostError(ClientError):
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -43,7 +43,7 @@
     )
 
 
-def founding_view(settings: ClaimSettings, data_centre: DataCentre) -> View:
+def initial_view(settings: ClaimSettings, data_centre: DataCentre) -> View:
     """Return view 0 of a data centre, which the settings name."""
     guards = []
     for entry in settings.founders[data_centre]:
@@ -71,22 +71,22 @@
         self.started_at = clock.monotonic()
         self.is_founder = clock.now() <= settings.in_service_from
         self.duties = {
-            name: self.make_duty(name, incarnation) for name in settings.founders
+            data_centre: self.make_duty(data_centre, incarnation) for data_centre in settings.founders
         }
         self.roster = EMPTY_ROSTER
         self.inbox = Mailbox()
 
     def make_duty(self, data_centre: DataCentre, incarnation: int) -> GuardDuty:
         """Return an empty memory, which is a full one if nothing came before."""
-        founding = founding_view(self.settings, data_centre)
+        view_0 = initial_view(self.settings, data_centre)
         guard = Guard(
             self.me,
             incarnation,
             self.policy,
             self.started_at,
-            founding if self.is_founder else None,
+            view_0 if self.is_founder else None,
         )
-        return GuardDuty(guard, founding)
+        return GuardDuty(guard, view_0)
 
     async def run(self) -> None:
         """Answer and join for good."""
@@ -115,15 +115,15 @@
         """Take the list that was read from the platform just now."""
         self.roster = roster
         now = self.clock.monotonic()
-        for name, duty in self.duties.items():
-            duty.read_list(view_of(roster, name), now)
+        for data_centre, duty in self.duties.items():
+            duty.read_list(view_of(roster, data_centre), now)
 
     def apply_peer_roster(self, roster: Roster) -> None:
         """Take a roster that a peer told: it may name a later view."""
         self.roster = max(self.roster, roster, key=lambda r: r.number)
         now = self.clock.monotonic()
-        for name, duty in self.duties.items():
-            duty.hear_view(view_of(roster, name), now)
+        for data_centre, duty in self.duties.items():
+            duty.hear_view(view_of(roster, data_centre), now)
 
     async def join_step(self) -> None:
         """Ask for what is still missing, and enter views that are complete."""
@@ -137,13 +137,13 @@
 
     def log_entered(self, duty: GuardDuty, view: View) -> None:
         """Log that this host votes in a view from now on."""
-        details = {
+        log_fields = {
             "view": view.number,
             "guards": [g.host_id for g in view.guards],
             "of": view.data_centre,
             "claims": len(duty.guard.claims),
         }
-        log.info("guard entered a view", extra=details)
+        log.info("guard entered a view", extra=log_fields)
 
     async def request_missing_records(
         self, data_centre: DataCentre, duty: GuardDuty, joining: Joining
@@ -186,10 +186,10 @@
                 request.incarnation,
                 after,
             )
-            answer = await self.peers.call(guard.address, page_request)
-            if not isinstance(answer, Success):
+            reply_result = await self.peers.call(guard.address, page_request)
+            if not isinstance(reply_result, Success):
                 return
-            page: Handover = answer.unwrap()
+            page: Handover = reply_result.unwrap()
             pages.append(page)
             if not page.more:
                 break
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -112,14 +112,14 @@
     def build_tasks(self) -> None:
         """Make every task and say who hears whom."""
         settings, timing = self.settings, self.settings.timing
-        pooled, fresh = self.make_session(False), self.make_session(True)
-        self.sessions = [pooled, fresh]
+        pooled_session, fresh_session = self.make_session(False), self.make_session(True)
+        self.sessions = [pooled_session, fresh_session]
         self.membership = self.make_membership()
         self.guard = GuardTask(
             settings.host_id, self.incarnation, settings.claims, self.peers, self.clock
         )
         self.roster = RosterTask(
-            HttpHostList(self.make_reader(pooled, settings.host_list, "host_list")),
+            HttpHostList(self.make_reader(pooled_session, settings.host_list, "host_list")),
             self.peers,
             timing,
             self.metrics,
@@ -129,7 +129,7 @@
         self.rollout = RolloutTask(
             Trust(settings.trust.keys, settings.trust.threshold),
             HttpConfigurationService(
-                self.make_reader(pooled, settings.configuration_service, "configuration")
+                self.make_reader(pooled_session, settings.configuration_service, "configuration")
             ),
             self.peers,
             timing,
@@ -139,7 +139,7 @@
             self.membership.is_reader,
         )
         engines = HttpEngineClient(
-            pooled, fresh, timing.silence_s, settings.limits.longest_request_s
+            pooled_session, fresh_session, timing.silence_s, settings.limits.longest_request_s
         )
         self.keeper = KeeperTask(
             settings.host_id,
@@ -172,7 +172,7 @@
             self.tracing,
         )
         self.content_guard = self.make_content_guard(engines)
-        self.callers = self.make_callers(engines, pooled, fresh)
+        self.callers = self.make_callers(engines, pooled_session, fresh_session)
         self.operators = OperatorServer(
             self,
             self.metrics,
@@ -245,8 +245,8 @@
     def make_callers(
         self,
         engines: HttpEngineClient,
-        pooled: aiohttp.ClientSession,
-        fresh: aiohttp.ClientSession,
+        pooled_session: aiohttp.ClientSession,
+        fresh_session: aiohttp.ClientSession,
     ) -> CallerServer:
         """Make what serves callers."""
         limits = self.settings.limits
@@ -264,8 +264,8 @@
             self.content_guard,
         )
         self.forwarder = ServiceForwarder(
-            pooled,
-            fresh,
+            pooled_session,
+            fresh_session,
             self.claimer,
             budgets,
             self.tracing,
@@ -397,7 +397,7 @@
         peer_listener = await self.listen()
         try:
             async with asyncio.TaskGroup() as group:
-                work = [
+                background_tasks = [
                     group.create_task(self.roster.run()),
                     group.create_task(self.rollout.run(self.membership.first_peers)),
                     group.create_task(self.membership.run()),
@@ -409,7 +409,7 @@
                 ]
                 await stop.wait()
                 await self.drain()
-                for task in work:
+                for task in background_tasks:
                     task.cancel()
         finally:
             peer_listener.close()
@@ -454,8 +454,8 @@
             async with asyncio.timeout(timing.shutdown_s):
                 await self.callers.idle.wait()
         except TimeoutError:
-            left = self.callers.admission.in_flight
-            log.error("stopped with requests in flight", extra={"in_flight": left})
+            remaining = self.callers.admission.in_flight
+            log.error("stopped with requests in flight", extra={"in_flight": remaining})
         await self.leases.return_idle_leases()
 
     async def close(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -140,9 +140,9 @@
             group.create_task(every(self.timing.report_s, self.request_reports))
             group.create_task(every(TICK_S, self.tick))
 
-    def start_background(self, work: Coroutine[Any, Any, None]) -> None:
+    def start_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run work beside the task; its result comes back as an event."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
 
--- a/packages/daemon/src/sardinequay_daemon/load_request_handler.py
+++ b/packages/daemon/src/sardinequay_daemon/load_request_handler.py
@@ -48,8 +48,8 @@
             return WantReply(True, "resident")
         deadline = now + seconds(message.wait_s)
         goal_at = now + seconds(message.goal_s)
-        since = now - seconds(message.waited_s)
-        waiter = Waiter(message.worth, goal_at, deadline, since)
+        waiting_since = now - seconds(message.waited_s)
+        waiter = Waiter(message.worth, goal_at, deadline, waiting_since)
         expected_s = orders_in_s + scheduler.expected_wait_s(adapter, waiter, now)
         if expected_s > message.wait_s:
             return WantReply(False, "expected too late", expected_s)
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -171,11 +171,11 @@
             del self.peer_holdings[target_id]
         if not self.is_ordering:
             return
-        here = self.local_engines()
+        local_engines = self.local_engines()
         for target_id in tuple(self.managed_engines):
-            if target_id not in here:
+            if target_id not in local_engines:
                 self.remove_engine(target_id)
-        for target_id, published in here.items():
+        for target_id, published in local_engines.items():
             engine = self.managed_engines.get(target_id)
             if engine is None:
                 self.add_engine(published)
@@ -191,18 +191,18 @@
         Nothing of the start before holds. Reports lag, so none is believed that may be
         older than an order of the start before that reached this one.
         """
-        old = engine.scheduler
+        previous = engine.scheduler
         log.info(
             "engine started again",
             extra={
-                "target": old.target,
-                "before": old.incarnation,
+                "target": previous.target,
+                "before": previous.incarnation,
                 "after": published.incarnation,
             },
         )
         engine.published = published
         engine.scheduler = EngineBook(
-            old.target, old.places, published.incarnation, old.number + 1
+            previous.target, previous.places, published.incarnation, previous.number + 1
         )
         engine.scheduler.in_doubt(self.clock.monotonic())
         engine.wake.set()
@@ -313,13 +313,13 @@
             self.record_order(engine, order, "void: the engine started again")
             return
         if isinstance(result, Success):
-            answer = result.unwrap()
-            if isinstance(answer, OrderAccepted):
-                outcome = "held already" if answer.holds_already else "accepted"
-                scheduler.accepted(order, answer.holds_already, now)
+            reply = result.unwrap()
+            if isinstance(reply, OrderAccepted):
+                outcome = "held already" if reply.holds_already else "accepted"
+                scheduler.accepted(order, reply.holds_already, now)
             else:
-                outcome = f"refused: {answer.detail}"
-                if answer.is_stale_token:
+                outcome = f"refused: {reply.detail}"
+                if reply.is_stale_token:
                     self.candidate.raise_token()
                 scheduler.refused(order, now)
         else:
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -267,13 +267,13 @@
         if self.fleet.is_reader():
             self.fleet.tell_soon(far=False)
 
-    def handle_peer_contents(self, heard: HeardDigest) -> None:
+    def handle_peer_contents(self, received: HeardDigest) -> None:
         """Take what a peer knows against contents of requests."""
-        self.guard.take(heard.digest.contents)
+        self.guard.take(received.digest.contents)
 
-    def handle_digest(self, heard: HeardDigest) -> None:
+    def handle_digest(self, received: HeardDigest) -> None:
         """Fetch what a peer knows of the store and this host does not."""
-        digest = heard.digest
+        digest = received.digest
         is_idle = self.fetch_task is None or self.fetch_task.done()
         self.store.hear_revision(digest.store_revision)
         if digest.news_revision > self.store.catalogue.revision and is_idle:
@@ -285,9 +285,9 @@
         if address is None:
             return
         request = FetchItems(self.store.catalogue.revision)
-        answer = (await self.peers.call(address, request)).value_or(None)
-        if isinstance(answer, ItemsReply):
-            self.store.take_from_peer(answer)
+        reply = (await self.peers.call(address, request)).value_or(None)
+        if isinstance(reply, ItemsReply):
+            self.store.take_from_peer(reply)
 
     # Life.
 
@@ -306,7 +306,7 @@
         log.info("started", extra={"data_centre": self.profile.data_centre})
         try:
             async with asyncio.TaskGroup() as group:
-                work = [
+                background_tasks = [
                     group.create_task(self.store.run()),
                     group.create_task(self.fleet.run()),
                     group.create_task(self.orders.run()),
@@ -315,7 +315,7 @@
                 ]
                 await stop.wait()
                 await self.drain()
-                for task in work:
+                for task in background_tasks:
                     task.cancel()
         finally:
             peer_listener.close()
@@ -410,8 +410,8 @@
             if elapsed_s > grace_s - RESIGN_BEFORE_END_S:
                 await self.orders.resign()
             if elapsed_s > grace_s:
-                left = self.server.in_flight
-                log.error("stopped with requests in flight", extra={"in_flight": left})
+                remaining = self.server.in_flight
+                log.error("stopped with requests in flight", extra={"in_flight": remaining})
                 break
             await asyncio.sleep(DRAIN_POLL_S)
         await self.orders.resign()
--- a/packages/daemon/src/sardinequay_daemon/use_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/use_lease_task.py
@@ -160,21 +160,21 @@
         sequence = self.lease_table.next_sequence()
         asked_at = self.clock.monotonic()
 
-        def message(keepership: Keepership) -> Acquire:
+        def make_message(keepership: Keepership) -> Acquire:
             address = str(self.address)
             return Acquire(keepership, self.holder, address, adapter, sequence)
 
-        answer = await self.request_from_home(pool, adapter, message, None)
-        if not isinstance(answer, Granted):
+        reply = await self.request_from_home(pool, adapter, make_message, None)
+        if not isinstance(reply, Granted):
             return False
-        self.record_granted_leases(answer, asked_at, sequence)
+        self.record_granted_leases(reply, asked_at, sequence)
         return self.best_lease(adapter) is not None
 
     def record_granted_leases(self, granted: Granted, asked_at: Instant, sequence: int) -> None:
         """Take leases, each counted from before it was asked for."""
         for grant in granted.uses:
-            until = asked_at + timedelta(seconds=grant.lasts_s)
-            self.lease_table.grant(grant.use, until, sequence)
+            expires_at = asked_at + timedelta(seconds=grant.lasts_s)
+            self.lease_table.grant(grant.use, expires_at, sequence)
         for load in granted.loads:
             self.engine_loads[load.target] = load
 
@@ -185,15 +185,15 @@
         remaining = deadline - self.clock.monotonic()
         wait_s = remaining.total_seconds()
 
-        def message(keepership: Keepership) -> Want:
+        def make_message(keepership: Keepership) -> Want:
             return Want(keepership, self.holder, adapter, wait_s)
 
-        answer = await self.request_from_home(pool, adapter, message, wait_s)
-        if isinstance(answer, Wanted) and answer.loaded:
+        reply = await self.request_from_home(pool, adapter, make_message, wait_s)
+        if isinstance(reply, Wanted) and reply.loaded:
             return None
-        if isinstance(answer, Wanted):
+        if isinstance(reply, Wanted):
             text = "the adapter cannot be loaded before the deadline"
-            after = timedelta(seconds=answer.retry_after_s)
+            after = timedelta(seconds=reply.retry_after_s)
             return not_run(Reason.LOAD_QUEUE_FULL, text, after)
         if not live_engines(self.roster, pool):
             return not_run(Reason.NO_TARGET, "no engine is live", NO_KEEPER_RETRY)
@@ -212,9 +212,9 @@
         """Ask the keeper in the adapter's home, or the next one that can be reached."""
         for data_centre in self.home_data_centres(pool, adapter):
             keepership = Keepership(pool, data_centre)
-            answer = await self.request_from_keeper(keepership, make_message(keepership), timeout_s)
-            if isinstance(answer, Granted | Wanted):
-                return answer
+            reply = await self.request_from_keeper(keepership, make_message(keepership), timeout_s)
+            if isinstance(reply, Granted | Wanted):
+                return reply
             self.avoided_data_centres[data_centre] = self.clock.monotonic() + AVOID_FOR
         return None
 
@@ -248,11 +248,11 @@
     ) -> object:
         """Ask likely keepers until one is it."""
         for address in self.keeper_candidates(keepership):
-            answer = await self.peers.call(address, message, timeout_s)
-            if isinstance(answer, Success) and not isinstance(
-                answer.unwrap(), NotKeeper
+            reply = await self.peers.call(address, message, timeout_s)
+            if isinstance(reply, Success) and not isinstance(
+                reply.unwrap(), NotKeeper
             ):
-                return answer.unwrap()
+                return reply.unwrap()
         return PeerError(keepership.data_centre, "no keeper")
 
     # Keeping and returning leases.
@@ -279,11 +279,11 @@
         asked_at = self.clock.monotonic()
         address = str(self.address)
         message = Renew(keepership, self.holder, address, tuple(uses), sequence)
-        answer = await self.request_from_keeper(keepership, message, None)
-        if not isinstance(answer, Granted):
+        reply = await self.request_from_keeper(keepership, message, None)
+        if not isinstance(reply, Granted):
             return
-        self.record_granted_leases(answer, asked_at, sequence)
-        renewed = {grant.use for grant in answer.uses}
+        self.record_granted_leases(reply, asked_at, sequence)
+        renewed = {grant.use for grant in reply.uses}
         for use, _ in uses:
             if use not in renewed and not self.lease_table.recall(use):
                 self.return_lease(use)
--- a/packages/daemon/tests/conftest.py
+++ b/packages/daemon/tests/conftest.py
@@ -10,7 +10,7 @@
 from sardinequay_daemon.metrics import Metrics
 from sardinequay_daemon.shared_settings import TimingSettings
 
-PUBLIC = [
+PUBLIC_KEYS = [
     Ed25519PrivateKey.from_private_bytes(bytes([n]) * 32)
     .public_key()
     .public_bytes_raw()
@@ -31,7 +31,7 @@
     def monotonic(self) -> Instant:
         return self.since_boot
 
-    def turn(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.since_boot += timedelta(seconds=seconds)
 
 
@@ -62,7 +62,7 @@
         "operator_listener": "127.0.0.1:8002",
         "configuration_service": "http://127.0.0.1:9000",
         "host_list": "http://127.0.0.1:9001",
-        "trust": {"keys": dict(zip("abc", PUBLIC, strict=True)), "threshold": 2},
+        "trust": {"keys": dict(zip("abc", PUBLIC_KEYS, strict=True)), "threshold": 2},
         "claims": {
             "in_service_from": "2026-01-01T00:00:00Z",
             "founders": {
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -121,7 +121,7 @@
     await ended(guard, "e1")
     guard.refuse_held(run())
     await ended(guard, "e2")
-    clock.turn(1)
+    clock.advance(1)
     with pytest.raises(Refused) as caught:
         guard.refuse_held(run())
     refusal = caught.value.refusal
@@ -202,7 +202,7 @@
     guard, other = net.guards[:2]
     for g in (guard, other):
         g.quarantine.add(FATAL, broken_end(clock), clock.monotonic())
-    clock.turn(1)
+    clock.advance(1)
     guard.answered(FATAL)
     other.hear(news_of(guard.quarantine, FATAL, clock.monotonic()))
     assert not other.quarantine.is_suspect(FATAL)
@@ -212,7 +212,7 @@
     guard = net.guards[0]
     for name in ("e1", "e2"):
         await ended(guard, name)
-    clock.turn(1)
+    clock.advance(1)
     assert guard.lift(FATAL)
     guard.refuse_held(run())
 
--- a/packages/daemon/tests/test_decision_log.py
+++ b/packages/daemon/tests/test_decision_log.py
@@ -64,7 +64,7 @@
         output.emit(line("x"))
     assert output.left_out == 50
     read_lines(pipe[0])
-    clock.turn(1)
+    clock.advance(1)
     output.emit(line("later"))
     found = read_lines(pipe[0])
     assert found[0]["event"] == "log lines left out"
@@ -74,7 +74,7 @@
 def test_reader_that_does_not_read_blocks_nothing(output, clock) -> None:
     text = "y" * 10_000
     for _ in range(400):
-        clock.turn(1)
+        clock.advance(1)
         output.emit(line(text))
     assert output.left_out
     assert output.waiting_bytes < MAX_WAITING_BYTES + 20_000
@@ -82,7 +82,7 @@
 
 def test_waiting_lines_arrive_whole_once_somebody_reads(output, pipe, clock) -> None:
     for n in range(60):
-        clock.turn(1)
+        clock.advance(1)
         output.emit(line("z" * 3000, n=n))
     found = []
     for _ in range(20):
--- a/packages/daemon/tests/test_errors.py
+++ b/packages/daemon/tests/test_errors.py
@@ -27,9 +27,9 @@
     # Found in trials: the interpreter sets an error's traceback, which an error that is
     # a frozen data class refuses, so that the request ended with another error.
     @asynccontextmanager
-    async def nothing() -> AsyncIterator[None]:
+    async def empty_context() -> AsyncIterator[None]:
         yield
 
     with pytest.raises(type(error)):
-        async with nothing(), nothing():
+        async with empty_context(), empty_context():
             raise error
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -50,17 +50,17 @@
     fleet.hear(digest("h2"))
     fleet.hear(digest("h3", "zb"))
     assert fleet.live_hosts == 3
-    clock.turn(1.5)
+    clock.advance(1.5)
     assert fleet.live_hosts == 1
 
 
 def test_silent_peer_still_counts_among_the_voters(fleet, clock) -> None:
     fleet.hear(digest("h2"))
     fleet.hear(digest("h3", "zb"))
-    clock.turn(20)
+    clock.advance(20)
     fleet.forget_silent(clock.monotonic())
     assert fleet.voters(LEASE) == ("h2",)
-    clock.turn(11)
+    clock.advance(11)
     fleet.forget_silent(clock.monotonic())
     assert fleet.voters(LEASE) == ()
 
@@ -68,28 +68,28 @@
 def test_leaving_peer_counts_until_its_votes_have_run_out(fleet, clock) -> None:
     fleet.hear(digest("h2"))
     fleet.hear(digest("h2", is_leaving=True))
-    clock.turn(0.9)
+    clock.advance(0.9)
     fleet.hear(digest("h2", is_leaving=True))
     assert fleet.voters(LEASE) == ("h2",)
     assert fleet.leaving() == ("h2",)
-    clock.turn(0.2)
+    clock.advance(0.2)
     assert fleet.voters(LEASE) == ()
-    clock.turn(5)
+    clock.advance(5)
     assert fleet.leaving() == ()
 
 
 def test_host_that_hears_nobody_does_not_vote_for_long(fleet, clock) -> None:
     assert not fleet.has_joined()
-    clock.turn(5)
+    clock.advance(5)
     assert not fleet.has_joined()
-    clock.turn(6)
+    clock.advance(6)
     assert fleet.has_joined()
 
 
 def test_host_that_joined_votes_after_it_knows_the_others(fleet, clock) -> None:
     fleet.hear(digest("h2"))
     assert not fleet.has_joined()
-    clock.turn(1.1)
+    clock.advance(1.1)
     assert fleet.has_joined()
 
 
@@ -154,15 +154,15 @@
 
 def test_host_that_looks_anew_has_joined_a_second_after_it_heard_one(fleet, clock):
     fleet.hear(digest("h2"))
-    clock.turn(12)
+    clock.advance(12)
     assert fleet.has_joined()
     fleet.rejoin()
-    clock.turn(5)
+    clock.advance(5)
     assert not fleet.has_joined()
     fleet.hear(digest("h2"))
-    clock.turn(0.9)
+    clock.advance(0.9)
     assert not fleet.has_joined()
-    clock.turn(0.2)
+    clock.advance(0.2)
     assert fleet.has_joined()
 
 
@@ -205,14 +205,14 @@
     # for a restart, the second brought all that its sender had ever counted as news,
     # and hosts refused organisations for seconds that were within their quotas.
     fleet.hear(digest("h2", up_s=50.02))
-    clock.turn(0.006)
+    clock.advance(0.006)
     fleet.hear(digest("h2", up_s=50.0))
     assert restarts == [False, False]
 
 
 def test_peer_back_after_a_second_has_restarted(fleet, clock, restarts) -> None:
     fleet.hear(digest("h2", up_s=0.2))
-    clock.turn(1.0)
+    clock.advance(1.0)
     fleet.hear(digest("h2", up_s=0.1))
     assert restarts == [False, True]
 
@@ -233,7 +233,7 @@
                 is_leaving=random.random() < 0.1,
             )
         )
-        clock.turn(random.uniform(0, 0.15))
+        clock.advance(random.uniform(0, 0.15))
     fleet.vouched = frozenset(random.sample(sorted(fleet.peers), hosts // 3))
     fleet.vouched_at = clock.monotonic()
 
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -84,7 +84,7 @@
 
     me: HostId
     lease: Lease = field(default_factory=Lease)
-    ordered: dict = field(default_factory=dict)
+    managed_engines: dict = field(default_factory=dict)
     told: tuple[EngineHoldings, ...] = ()
     heard: dict[TargetId, EngineHoldings] = field(default_factory=dict)
 
@@ -187,7 +187,7 @@
     def pass_time(self, for_s: float) -> None:
         """Let each host tell what is due, in small steps."""
         for _ in range(round(for_s / STEP_S)):
-            self.clock.turn(STEP_S)
+            self.clock.advance(STEP_S)
             self.elapsed_s += STEP_S
             for host in self.hosts:
                 if not host.is_down:
@@ -645,6 +645,6 @@
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     host = Host(7, clock, seeds)
     assert host.state.size.hosts() == ASSUMED_HOSTS
-    clock.turn(60)
+    clock.advance(60)
     host.state.count_hosts()
     assert host.state.size.hosts() == len(seeds) + 1
--- a/packages/daemon/tests/test_order_lease_task.py
+++ b/packages/daemon/tests/test_order_lease_task.py
@@ -11,7 +11,7 @@
 from .conftest import ManualClock
 
 
-class Fleet:
+class FakeFleet:
     """Hosts as a test has them: none that stays."""
 
     def __init__(self) -> None:
@@ -48,36 +48,36 @@
 POLICY = OrderPolicy(lease=seconds(LEASE_S), quiet=seconds(QUIET_S))
 
 
-def started(clock: ManualClock, imports_s: float, is_first_start: bool):
+def start_task(clock: ManualClock, imports_s: float, is_first_start: bool):
     process_started_at = clock.monotonic()
-    clock.turn(imports_s)
+    clock.advance(imports_s)
     me = HostId("h1")
     made = OrderLeaseTask(
-        me, "za", None, Fleet(), clock, Random(1), POLICY, is_first_start, process_started_at
+        me, "za", None, FakeFleet(), clock, Random(1), POLICY, is_first_start, process_started_at
     )
     made.voter.learn_revision(1, 0.0)
     return made
 
 
-def test_votes_of_before_have_run_out_a_lease_after_the_process_began(clock) -> None:
-    task = started(clock, imports_s=0.4, is_first_start=False)
+def test_voter_abstains_for_one_lease_after_the_process_started(clock) -> None:
+    task = start_task(clock, imports_s=0.4, is_first_start=False)
     ballot = Ballot(HostId("h2"), "za", 10_000)
-    clock.turn(LEASE_S - 0.4 - 0.01)
+    clock.advance(LEASE_S - 0.4 - 0.01)
     assert not task.voter.vote(ballot, clock.monotonic()).granted
-    clock.turn(0.02)
+    clock.advance(0.02)
     vote = task.voter.vote(ballot, clock.monotonic())
     assert vote.granted
     assert 0.0 <= vote.quiet_s < 0.02
 
 
-def test_first_start_of_all_has_nothing_to_wait_for(clock) -> None:
-    task = started(clock, imports_s=0.4, is_first_start=True)
+def test_voter_grants_at_once_on_the_first_start_of_the_system(clock) -> None:
+    task = start_task(clock, imports_s=0.4, is_first_start=True)
     vote = task.voter.vote(Ballot(HostId("h2"), "za", 1), clock.monotonic())
     assert vote.granted
     assert vote.quiet_s == float("inf")
 
 
-def test_voter_that_forgot_goes_by_the_newest_revision_that_is_known(clock) -> None:
+def test_restarted_voter_bounds_tokens_by_the_newest_known_revision(clock) -> None:
     """Peers pass on entries that were only renewed up to seconds later.
 
     Taken for the newest, their revision bounds tokens that were given since too low.
@@ -86,7 +86,7 @@
         HostId("h1"),
         "za",
         None,
-        Fleet(),
+        FakeFleet(),
         clock,
         Random(1),
         POLICY,
@@ -98,22 +98,22 @@
     assert task.voter.highest_token >= token_bound(80, 0.0)
 
 
-async def test_host_that_slept_looks_for_the_voters_before_it_stands(
+async def test_suspended_host_rejoins_before_it_requests_votes(
     clock, monkeypatch
 ) -> None:
     """Its neighbours were leaving, so it held the lease by its own vote alone."""
 
-    async def at_once(_: float) -> None:
+    async def skip_sleep(_: float) -> None:
         return
 
-    monkeypatch.setattr("asyncio.sleep", at_once)
-    task = started(clock, imports_s=0.1, is_first_start=True)
+    monkeypatch.setattr("asyncio.sleep", skip_sleep)
+    task = start_task(clock, imports_s=0.1, is_first_start=True)
     await task.step()
     assert task.is_holder
-    clock.turn(0.9)
+    clock.advance(0.9)
     await task.step()
     assert task.is_holder
-    clock.turn(4.0)
+    clock.advance(4.0)
     await task.step()
     assert task.fleet.rejoined == 1
     assert not task.is_holder
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -37,11 +37,11 @@
 
 E = TargetId("e")
 A = AdapterRef("m/a", "1")
-FIRST, SECOND = 1_000, 2_000
+FIRST_INCARNATION, SECOND_INCARNATION = 1_000, 2_000
 """When the engine started, and when it started again, in Unix milliseconds."""
 
 
-class Lease:
+class FakeLease:
     """A lease that this host holds."""
 
     def __init__(self) -> None:
@@ -55,12 +55,12 @@
         pass
 
 
-class Engines:
+class FakeEngines:
     """Answers orders and reports as a test says, when it says so."""
 
     def __init__(self) -> None:
         self.may_answer = asyncio.Event()
-        self.status = holding(FIRST)
+        self.status = status_holding(FIRST_INCARNATION)
 
     async def report(self, target: Target):
         return Success(self.status)
@@ -70,7 +70,7 @@
         return Success(OrderAccepted(holds_already=False))
 
 
-def holding(incarnation: int, *adapters: AdapterRef) -> EngineStatus:
+def status_holding(incarnation: int, *adapters: AdapterRef) -> EngineStatus:
     return EngineStatus(
         frozenset({"m"}),
         frozenset(adapters),
@@ -81,7 +81,7 @@
     )
 
 
-def published(incarnation: int) -> PublishedTarget:
+def published_engine(incarnation: int) -> PublishedTarget:
     address = Address("127.0.0.1", 1)
     target = Target(E, PoolName("p"), TargetKind.ENGINE, DataCentre("za"), address)
     return PublishedTarget(
@@ -93,99 +93,99 @@
     engines = EnginePool(64, 1000, 0.0, 2, 1.0, (ServedModel("m", 1.0, 9, 1.0),))
     pool = Pool(PoolName("p"), 0, engines)
     config = make_config(1, (), (pool,), CallerLimits())
-    return Catalogue(incarnation, config, targets={E: published(incarnation)})
+    return Catalogue(incarnation, config, targets={E: published_engine(incarnation)})
 
 
 @pytest.fixture
-def engines() -> Engines:
-    return Engines()
+def engines() -> FakeEngines:
+    return FakeEngines()
 
 
 @pytest.fixture
 def task(engines, clock) -> OrderTask:
-    clock.turn(100)
+    clock.advance(100)
     made = OrderTask(
         HostId("h1"),
         "za",
         engines,
-        Lease(),
+        FakeLease(),
         clock,
         ServingMetrics("h1", "za"),
         AdapterUses(),
         lambda: None,
     )
-    made.catalogue = catalogue(FIRST)
+    made.catalogue = catalogue(FIRST_INCARNATION)
     made.is_ordering = True
-    scheduler = EngineBook(E, 2, FIRST)
-    scheduler.take_report(holding(FIRST, A), clock.monotonic(), clock.monotonic())
-    made.managed_engines[E] = ManagedEngine(published(FIRST), scheduler)
+    scheduler = EngineBook(E, 2, FIRST_INCARNATION)
+    scheduler.take_report(status_holding(FIRST_INCARNATION, A), clock.monotonic(), clock.monotonic())
+    made.managed_engines[E] = ManagedEngine(published_engine(FIRST_INCARNATION), scheduler)
     return made
 
 
-def test_listing_of_a_later_start_opens_another_book(task: OrderTask, clock) -> None:
+def test_listing_of_a_later_incarnation_resets_the_scheduler(task: OrderTask, clock) -> None:
     number = task.managed_engines[E].scheduler.number
-    task.apply_catalogue(catalogue(SECOND))
+    task.apply_catalogue(catalogue(SECOND_INCARNATION))
     scheduler = task.managed_engines[E].scheduler
-    assert scheduler.incarnation == SECOND
+    assert scheduler.incarnation == SECOND_INCARNATION
     assert not scheduler.residents()
     assert scheduler.orders is None
     assert scheduler.number > number
 
 
-def test_listing_of_an_earlier_start_changes_nothing(task: OrderTask) -> None:
-    task.managed_engines[E].scheduler.incarnation = SECOND
-    task.apply_catalogue(catalogue(FIRST))
+def test_listing_of_an_earlier_incarnation_changes_nothing(task: OrderTask) -> None:
+    task.managed_engines[E].scheduler.incarnation = SECOND_INCARNATION
+    task.apply_catalogue(catalogue(FIRST_INCARNATION))
     assert task.managed_engines[E].scheduler.residents() == (A,)
 
 
-async def test_report_of_a_later_start_opens_another_book(
+async def test_report_of_a_later_incarnation_resets_the_scheduler(
     task: OrderTask, engines
 ) -> None:
-    engines.status = holding(SECOND)
+    engines.status = status_holding(SECOND_INCARNATION)
     await task.request_report(task.managed_engines[E])
-    assert task.managed_engines[E].scheduler.incarnation == SECOND
+    assert task.managed_engines[E].scheduler.incarnation == SECOND_INCARNATION
     assert not task.managed_engines[E].scheduler.residents()
 
 
-async def test_order_meant_for_the_start_before_is_not_counted(
+async def test_reply_to_an_order_of_the_previous_incarnation_is_ignored(
     task: OrderTask, engines
 ) -> None:
     engine = task.managed_engines[E]
-    giving = asyncio.create_task(task.send_order(engine, LoadAdapter(AdapterRef("m/b", "1"))))
+    sending = asyncio.create_task(task.send_order(engine, LoadAdapter(AdapterRef("m/b", "1"))))
     await asyncio.sleep(0)
-    task.apply_catalogue(catalogue(SECOND))
+    task.apply_catalogue(catalogue(SECOND_INCARNATION))
     engines.may_answer.set()
-    await giving
+    await sending
     assert not engine.scheduler.coming
     assert engine.scheduler.orders is None
 
 
-async def test_denial_of_the_start_before_is_not_believed(task: OrderTask) -> None:
+async def test_missing_adapter_report_of_the_previous_incarnation_is_ignored(task: OrderTask) -> None:
     scheduler = task.managed_engines[E].scheduler
-    later = replace(published(SECOND), incarnation=SECOND)
+    later = replace(published_engine(SECOND_INCARNATION), incarnation=SECOND_INCARNATION)
     task.reset_scheduler(task.managed_engines[E], later)
     scheduler = task.managed_engines[E].scheduler
     now = task.clock.monotonic() + seconds(9)
-    scheduler.take_report(holding(SECOND, A), now, now)
-    await task.handle_adapter_event(AdapterMissing(E, A, FIRST))
+    scheduler.take_report(status_holding(SECOND_INCARNATION, A), now, now)
+    await task.handle_adapter_event(AdapterMissing(E, A, FIRST_INCARNATION))
     assert scheduler.residents() == (A,)
-    await task.handle_adapter_event(AdapterMissing(E, A, SECOND))
+    await task.handle_adapter_event(AdapterMissing(E, A, SECOND_INCARNATION))
     assert scheduler.residents() == ()
 
 
-def test_what_engines_hold_is_written_once_for_many_hosts(
+def test_recent_holdings_are_cached_for_many_hosts(
     task: OrderTask, clock
 ) -> None:
     first = task.recent_holdings()
     assert first[0].adapters == (A,)
     assert task.recent_holdings() is first
-    clock.turn(0.06)
+    clock.advance(0.06)
     assert task.recent_holdings() is not first
 
 
-def test_a_change_is_told_at_once(task: OrderTask, clock) -> None:
+def test_changed_holdings_replace_the_cache_at_once(task: OrderTask, clock) -> None:
     task.recent_holdings()
-    task.apply_catalogue(catalogue(SECOND))
+    task.apply_catalogue(catalogue(SECOND_INCARNATION))
     latest = task.holdings_snapshot()
     assert task.recent_holdings() is latest
     assert not latest[0].adapters
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -214,10 +214,10 @@
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED, read(revision=2)]
     await task.read_once()
-    clock.turn(1)
+    clock.advance(1)
     await task.read_once()
     assert task.absence().keep_until is None
-    clock.turn(0.5)
+    clock.advance(0.5)
     await task.read_once()
     assert task.absence().keep_until is None
 
@@ -227,13 +227,13 @@
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED, read(revision=2)]
     await task.read_once()
-    clock.turn(4)
+    clock.advance(4)
     await task.read_once()
     assert task.absence().keep_until == clock.monotonic() + seconds(2)
     await task.read_once()
-    clock.turn(1.9)
+    clock.advance(1.9)
     assert task.absence().keep_until is not None
-    clock.turn(0.2)
+    clock.advance(0.2)
     assert task.absence().keep_until is None
 
 
@@ -242,7 +242,7 @@
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED]
     await task.read_once()
-    clock.turn(8)
+    clock.advance(8)
     peers["age_s"] = 0.4
     await task.read_once()
     assert task.absence().keep_until is None
@@ -297,7 +297,7 @@
 ) -> None:
     # 30 engines renew their entries each second or so, and 87 hosts fetched them four
     # times a second.
-    clock.turn(10)
+    clock.advance(10)
     scripted.answers = [read(entry(1, 5), revision=5)]
     scripted.answers += [read(entry(1, r), revision=r) for r in range(6, 16)]
     told = []
@@ -305,7 +305,7 @@
         await task.read_once()
         told.append(task.standing().news_revision)
         assert task.standing().revision == task.catalogue.revision
-        clock.turn(0.3)
+        clock.advance(0.3)
     assert told[0] == 5
     assert len(set(told)) == 2
     assert task.catalogue.revision == 15
@@ -321,7 +321,7 @@
         read(entry(1, 6), revision=6),
         read(entry(2, 7), revision=7),
     ]
-    clock.turn(10)
+    clock.advance(10)
     for _ in range(3):
         await task.read_once()
     assert task.standing().news_revision == 7
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -209,7 +209,7 @@
 async def test_waiting_helps_no_longer_than_callers_stay(picker, clock):
     made = exchange(clock, "a9", seconds(15))
     assert made.first_event_left_s(clock.monotonic()) == pytest.approx(3.2)
-    clock.turn(3)
+    clock.advance(3)
     assert made.first_event_left_s(clock.monotonic()) == pytest.approx(0.2)
 
 
@@ -256,7 +256,7 @@
     picker, board, clock
 ):
     board.replies = [WantReply(False, "queued", 0.05, is_queued=True)]
-    board.on_ask = lambda: clock.turn(0.4)
+    board.on_ask = lambda: clock.advance(0.4)
     await picker.choose(exchange(clock, "a9"))
     assert [ask.waited_s for ask in board.asked] == pytest.approx([0.0, 0.4])
 
--- a/packages/daemon/tests/test_tls.py
+++ b/packages/daemon/tests/test_tls.py
@@ -23,7 +23,7 @@
 IP = "127.0.0.1"
 
 
-def certificate(directory: Path, name: str) -> TlsSettings:
+def make_certificate(directory: Path, name: str) -> TlsSettings:
     """Make an authority of a name and a certificate by it."""
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     key = ec.generate_private_key(ec.SECP256R1())
@@ -59,14 +59,14 @@
         return RootReply(b"root")
 
     server.register(FetchRoot, answer)
-    context = server_context(certificate(tmp_path, "ours"))
+    context = server_context(make_certificate(tmp_path, "ours"))
     listener = await server.start(Address(IP, 0), context)
     yield Address(IP, listener.sockets[0].getsockname()[1])
     listener.close()
     server.close()
 
 
-async def test_peer_with_our_authority_is_answered(
+async def test_peer_with_the_same_authority_is_answered(
     address: Address, tmp_path: Path, metrics: Metrics, timing: TimingSettings
 ) -> None:
     ours = TlsSettings(
@@ -78,19 +78,19 @@
 
 
 @pytest.mark.parametrize("shows_another", [True, False])
-async def test_stranger_is_not_answered(
+async def test_peer_without_a_trusted_certificate_is_not_answered(
     address: Address,
     tmp_path: Path,
     metrics: Metrics,
     timing: TimingSettings,
     shows_another: bool,
 ) -> None:
-    theirs = certificate(tmp_path, "theirs") if shows_another else None
+    theirs = make_certificate(tmp_path, "theirs") if shows_another else None
     caller = PeerCaller(timing, metrics, IP, client_context(theirs))
     assert isinstance(await caller.call(address, FetchRoot()), Failure)
     caller.close()
 
 
-def test_missing_key_is_a_reason_not_to_start() -> None:
+def test_missing_key_file_raises_start_error() -> None:
     with pytest.raises(StartError, match="bad key"):
         server_context(TlsSettings("nowhere.pem", "nowhere.key"))
