--- a/packages/daemon/src/sardinequay_daemon/engine_client.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -102,7 +102,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Failure(TargetError(TargetFault.BROKEN, repr(error)))
         if response.status != 200:
-            detail = f"report: {answer.status}"
+            detail = f"report: {response.status}"
             return Failure(TargetError(TargetFault.BROKEN, detail))
         return decode_report(target.target_id, data)
 
@@ -172,7 +172,7 @@
                 )
                 async with get_context as response:
                     if response.status != 200:
-                        detail = f"resume: {answer.status}"
+                        detail = f"resume: {response.status}"
                         raise TargetError(TargetFault.BROKEN, detail)
                     yield response
         except TargetError as error:
