--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -26,7 +26,7 @@
 from sardinequay_daemon.guarded_run import GuardedRun
 from sardinequay_daemon.progress import RequestRefusedError
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 FATAL = ContentId("fatal")
 HOSTS = tuple(HostId(f"h{n}") for n in range(4))
@@ -76,7 +76,7 @@
 
 
 @pytest.fixture
-def net(clock: TurnedClock) -> Net:
+def net(clock: ManualClock) -> Net:
     made = Net()
     for host_id in HOSTS:
         made.guards.append(
@@ -121,7 +121,7 @@
     await end_target_under_request(guard, "e1")
     guard.refuse_if_held(run())
     await end_target_under_request(guard, "e2")
-    clock.turn(1)
+    clock.advance(1)
     with pytest.raises(RequestRefusedError) as caught:
         guard.refuse_if_held(run())
     refusal = caught.value.refusal
@@ -202,7 +202,7 @@
     guard, other = net.guards[:2]
     for g in (guard, other):
         g.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
-    clock.turn(1)
+    clock.advance(1)
     guard.record_answer(FATAL)
     other.apply_update(content_update(guard.quarantine, FATAL, clock.monotonic()))
     assert not other.quarantine.is_suspect(FATAL)
@@ -212,7 +212,7 @@
     guard = net.guards[0]
     for name in ("e1", "e2"):
         await end_target_under_request(guard, name)
-    clock.turn(1)
+    clock.advance(1)
     assert guard.lift_quarantine(FATAL)
     guard.refuse_if_held(run())
 
@@ -226,5 +226,5 @@
         other.refuse_if_held(run())
 
 
-def broken_end(clock: TurnedClock) -> TargetEnd:
+def broken_end(clock: ManualClock) -> TargetEnd:
     return TargetEnd(TargetId("e1"), 1, clock.monotonic())
--- a/packages/daemon/tests/test_decision_log.py
+++ b/packages/daemon/tests/test_decision_log.py
@@ -16,7 +16,7 @@
     BoundedOutput,
 )
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
 
 
 @pytest.fixture
-def output(clock: TurnedClock, pipe) -> BoundedOutput:
+def output(clock: ManualClock, pipe) -> BoundedOutput:
     made = BoundedOutput(clock, pipe[1])
     made.setFormatter(JsonFormatter(FIELDS, rename_fields=RENAMED))
     return made
@@ -64,7 +64,7 @@
         output.emit(line("x"))
     assert output.left_out == 50
     read_lines(pipe[0])
-    clock.turn(1)
+    clock.advance(1)
     output.emit(line("later"))
     found = read_lines(pipe[0])
     assert found[0]["event"] == "log lines left out"
@@ -74,7 +74,7 @@
 def test_reader_that_does_not_read_blocks_nothing(output, clock) -> None:
     text = "y" * 10_000
     for _ in range(400):
-        clock.turn(1)
+        clock.advance(1)
         output.emit(line(text))
     assert output.left_out
     assert output.waiting_bytes < MAX_WAITING_BYTES + 20_000
@@ -82,7 +82,7 @@
 
 def test_waiting_lines_arrive_whole_once_somebody_reads(output, pipe, clock) -> None:
     for n in range(60):
-        clock.turn(1)
+        clock.advance(1)
         output.emit(line("z" * 3000, n=n))
     found = []
     for _ in range(20):
@@ -94,7 +94,7 @@
     assert [x["n"] for x in lines] == list(range(60))
 
 
-def test_closed_reader_is_no_error(clock: TurnedClock) -> None:
+def test_closed_reader_is_no_error(clock: ManualClock) -> None:
     reading, writing = os.pipe()
     made = BoundedOutput(clock, writing)
     os.close(reading)
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -51,7 +51,7 @@
 )
 from sardinequay_daemon.store_task import FRESH_PEER_S, StoreStanding
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 STEP_S = 0.1
 DATA_CENTRES = ("za", "zb", "zc", "zd", "ze")
@@ -84,7 +84,7 @@
 
     me: HostId
     lease: Lease = field(default_factory=Lease)
-    ordered: dict = field(default_factory=dict)
+    managed_engines: dict = field(default_factory=dict)
     told: tuple[EngineHoldings, ...] = ()
     heard: dict[TargetId, EngineHoldings] = field(default_factory=dict)
 
@@ -95,10 +95,10 @@
     def recent_holdings(self) -> tuple[EngineHoldings, ...]:
         return self.told
 
-    def holdings_elsewhere(self, _) -> tuple[EngineHoldings, ...]:
+    def peer_holdings_snapshot(self, _) -> tuple[EngineHoldings, ...]:
         return tuple(self.heard.values())
 
-    def hear_holdings(self, holdings: EngineHoldings) -> None:
+    def record_peer_holdings(self, holdings: EngineHoldings) -> None:
         self.heard[holdings.target] = holdings
 
 
@@ -152,7 +152,7 @@
 class World:
     """All hosts, and the calls between them."""
 
-    def __init__(self, hosts: int, clock: TurnedClock) -> None:
+    def __init__(self, hosts: int, clock: ManualClock) -> None:
         self.clock = clock
         seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
         self.hosts = [Host(n, clock, seeds) for n in range(hosts)]
@@ -187,7 +187,7 @@
     def pass_time(self, for_s: float) -> None:
         """Let each host tell what is due, in small steps."""
         for _ in range(round(for_s / STEP_S)):
-            self.clock.turn(STEP_S)
+            self.clock.advance(STEP_S)
             self.elapsed_s += STEP_S
             for host in self.hosts:
                 if not host.is_down:
@@ -222,7 +222,7 @@
         return next(h for h in self.live(data_centre) if h.orders.lease.is_holder)
 
 
-def settled(hosts: int, clock: TurnedClock) -> World:
+def settled(hosts: int, clock: ManualClock) -> World:
     """Return a fleet that has found itself and chosen holders."""
     world = World(hosts, clock)
     world.pass_time(3)
@@ -232,7 +232,7 @@
 
 
 @pytest.fixture
-def world(clock: TurnedClock) -> World:
+def world(clock: ManualClock) -> World:
     return settled(50, clock)
 
 
@@ -390,7 +390,7 @@
     assert reborn.fleet.live_hosts == 50
 
 
-def test_all_hosts_restarted_at_once_find_one_another(clock: TurnedClock) -> None:
+def test_all_hosts_restarted_at_once_find_one_another(clock: ManualClock) -> None:
     world = settled(50, clock)
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     world.hosts = [Host(n, clock, seeds) for n in range(50)]
@@ -640,11 +640,11 @@
 
 
 def test_host_that_has_just_started_takes_a_small_part_of_the_repeats(
-    clock: TurnedClock,
+    clock: ManualClock,
 ) -> None:
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     host = Host(7, clock, seeds)
     assert host.state.fleet_size.hosts() == ASSUMED_HOSTS
-    clock.turn(60)
+    clock.advance(60)
     host.state.count_hosts()
     assert host.state.fleet_size.hosts() == len(seeds) + 1
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -22,7 +22,7 @@
 from sardinequay_daemon.serving_ports import StoreItem, StoreRead
 from sardinequay_daemon.store_task import StoreTask, head_start_s
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 
 def item(version: int, revision: int) -> StoreItem:
@@ -81,7 +81,7 @@
 
 
 @pytest.fixture
-def task(scripted, clock: TurnedClock, peers, monkeypatch) -> StoreTask:
+def task(scripted, clock: ManualClock, peers, monkeypatch) -> StoreTask:
     monkeypatch.setattr("sardinequay_daemon.store_task.BATCH_PAUSE_S", 0)
     monkeypatch.setattr("sardinequay_daemon.store_task.RETRY_S", (0,))
     return StoreTask(
@@ -111,7 +111,7 @@
 
 
 async def test_what_a_peer_tells_ends_a_listing_that_takes_long(
-    clock: TurnedClock, peers
+    clock: ManualClock, peers
 ) -> None:
     # All hosts had been killed at once. A listing with a configuration of a megabyte
     # took longer than its bound on links of 5 Mbit/s, and kept what peers told, a tenth
@@ -130,7 +130,7 @@
 
 
 async def test_host_that_starts_again_hears_its_peers_first(
-    scripted, clock: TurnedClock, peers
+    scripted, clock: ManualClock, peers
 ) -> None:
     task = StoreTask(
         scripted,
@@ -214,10 +214,10 @@
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED, read(revision=2)]
     await task.read_once()
-    clock.turn(1)
+    clock.advance(1)
     await task.read_once()
     assert task.absence().keep_until is None
-    clock.turn(0.5)
+    clock.advance(0.5)
     await task.read_once()
     assert task.absence().keep_until is None
 
@@ -227,13 +227,13 @@
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED, read(revision=2)]
     await task.read_once()
-    clock.turn(4)
+    clock.advance(4)
     await task.read_once()
     assert task.absence().keep_until == clock.monotonic() + seconds(2)
     await task.read_once()
-    clock.turn(1.9)
+    clock.advance(1.9)
     assert task.absence().keep_until is not None
-    clock.turn(0.2)
+    clock.advance(0.2)
     assert task.absence().keep_until is None
 
 
@@ -242,7 +242,7 @@
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED]
     await task.read_once()
-    clock.turn(8)
+    clock.advance(8)
     peers["age_s"] = 0.4
     await task.read_once()
     assert task.absence().keep_until is None
@@ -293,11 +293,11 @@
 
 
 async def test_peers_are_told_of_renewed_entries_now_and_then(
-    task: StoreTask, scripted: ScriptedStore, clock: TurnedClock
+    task: StoreTask, scripted: ScriptedStore, clock: ManualClock
 ) -> None:
     # 30 engines renew their entries each second or so, and 87 hosts fetched them four
     # times a second.
-    clock.turn(10)
+    clock.advance(10)
     scripted.answers = [read(entry(1, 5), revision=5)]
     scripted.answers += [read(entry(1, r), revision=r) for r in range(6, 16)]
     told = []
@@ -305,7 +305,7 @@
         await task.read_once()
         told.append(task.standing().news_revision)
         assert task.standing().revision == task.catalogue.revision
-        clock.turn(0.3)
+        clock.advance(0.3)
     assert told[0] == 5
     assert len(set(told)) == 2
     assert task.catalogue.revision == 15
@@ -314,14 +314,14 @@
 
 
 async def test_peers_are_told_of_a_changed_entry_at_once(
-    task: StoreTask, scripted: ScriptedStore, clock: TurnedClock
+    task: StoreTask, scripted: ScriptedStore, clock: ManualClock
 ) -> None:
     scripted.answers = [
         read(entry(1, 5), revision=5),
         read(entry(1, 6), revision=6),
         read(entry(2, 7), revision=7),
     ]
-    clock.turn(10)
+    clock.advance(10)
     for _ in range(3):
         await task.read_once()
     assert task.standing().news_revision == 7
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -51,7 +51,7 @@
 from sardinequay_daemon.serving_ports import RequestTerms
 from sardinequay_daemon.target_picker import MAX_FAILED_LOAD_REQUESTS, TargetPicker
 
-from .conftest import TurnedClock
+from .conftest import ManualClock
 
 POOL = PoolName("lm")
 ROUTE = Route(
@@ -116,7 +116,7 @@
 
 
 @pytest.fixture
-def state(clock: TurnedClock, monkeypatch: pytest.MonkeyPatch) -> RelayState:
+def state(clock: ManualClock, monkeypatch: pytest.MonkeyPatch) -> RelayState:
     made = RelayState("za", clock, Random(1), RepeatPolicy(), Fleet())
     keeper = EngineKeeper(HostId("h1"), 0.0, is_self=True)
     monkeypatch.setattr(
@@ -135,7 +135,7 @@
 FOUR_SECONDS = seconds(4)
 
 
-def exchange(clock: TurnedClock, adapter: str, wait: timedelta = FOUR_SECONDS):
+def exchange(clock: ManualClock, adapter: str, wait: timedelta = FOUR_SECONDS):
     now = clock.monotonic()
     return RelayExchange(
         terms=RequestTerms("r1", "m", f"m/{adapter}", 2000, wait),
@@ -209,7 +209,7 @@
 async def test_first_event_wait_is_bounded_by_caller_patience(picker, clock):
     made = exchange(clock, "a9", seconds(15))
     assert made.first_event_left_s(clock.monotonic()) == pytest.approx(3.2)
-    clock.turn(3)
+    clock.advance(3)
     assert made.first_event_left_s(clock.monotonic()) == pytest.approx(0.2)
 
 
@@ -256,7 +256,7 @@
     picker, load_client, clock
 ):
     load_client.replies = [WantReply(False, "queued", 0.05, is_queued=True)]
-    load_client.on_request = lambda: clock.turn(0.4)
+    load_client.on_request = lambda: clock.advance(0.4)
     await picker.choose(exchange(clock, "a9"))
     assert [ask.waited_s for ask in load_client.requests] == pytest.approx([0.0, 0.4])
 
