--- a/packages/cli/src/sardinequay_cli/bundle_verbs.py
+++ b/packages/cli/src/sardinequay_cli/bundle_verbs.py
@@ -9,17 +9,17 @@
 
 from sardinequay_core.approval import (
     SignedRoot,
-    Verdict,
-    approve,
-    compare,
-    encode_signed,
+    RootComparison,
+    add_approval,
+    compare_roots,
+    encode_signed_root,
     root_digest,
     valid_approvers,
-    verify,
+    verify_signed_root,
 )
-from sardinequay_core.bundle import Bundle, assemble, build
-from sardinequay_core.bundle_diff import diff
-from sardinequay_core.bundle_lint import Finding, lint, lint_sizes
+from sardinequay_core.bundle import Bundle, assemble_bundle, build_bundle
+from sardinequay_core.bundle_diff import diff_contents
+from sardinequay_core.bundle_lint import Finding, lint_contents, lint_sizes
 
 from .errors import EXIT_FINDINGS, EXIT_REFUSED, CommandError
 from .files import (
@@ -62,20 +62,20 @@
 def lint_verb(arguments: Namespace) -> Output:
     """Check contents."""
     contents = read_contents(arguments.contents)
-    findings = lint(contents)
+    findings = lint_contents(contents)
     if not findings:
-        built = build(contents, 1)
-        findings = lint_sizes(built, len(encode_signed(SignedRoot(built.root))))
+        built = build_bundle(contents, 1)
+        findings = lint_sizes(built, len(encode_signed_root(SignedRoot(built.root))))
     return report_findings(findings)
 
 
 def build_verb(arguments: Namespace) -> Output:
     """Build a root and blobs from contents that have no faults."""
     contents = read_contents(arguments.contents)
-    findings = lint(contents)
+    findings = lint_contents(contents)
     if findings:
         return report_findings(findings)
-    built = build(contents, arguments.version, arguments.note)
+    built = build_bundle(contents, arguments.version, arguments.note)
     write_blobs(arguments.out, built.blobs)
     signed = SignedRoot(built.root)
     write_signed(arguments.out / ROOT_NAME, signed)
@@ -93,7 +93,7 @@
 
 def diff_verb(arguments: Namespace) -> Output:
     """Show what changes from one file of contents to another."""
-    found = diff(read_contents(arguments.old), read_contents(arguments.new))
+    found = diff_contents(read_contents(arguments.old), read_contents(arguments.new))
     lines = tuple(str(d) for d in found) or ("no differences",)
     document = {
         "differences": [
@@ -107,7 +107,7 @@
     """Add one approval to a root."""
     signed = read_signed(arguments.root)
     key = read_private_key(arguments.key)
-    signed = approve(signed, arguments.key_id, key)
+    signed = add_approval(signed, arguments.key_id, key)
     write_signed(arguments.root, signed)
     names = [a.key_id for a in signed.approvals]
     line = f"version {signed.root.version} approved by {', '.join(names)}"
@@ -117,11 +117,11 @@
 
 def check_whole(root: Path, blobs: Path, settings: Path) -> tuple[SignedRoot, Bundle]:
     """Return a bundle that hosts with these settings would put in force."""
-    verified = verify(read_bytes(root), read_trust(settings))
+    verified = verify_signed_root(read_bytes(root), read_trust(settings))
     if not isinstance(verified, Success):
         raise CommandError(f"refused: {verified.failure()}", EXIT_REFUSED)
     signed = verified.unwrap()
-    made = assemble(signed.root, root_digest(signed.root), read_blobs(blobs))
+    made = assemble_bundle(signed.root, root_digest(signed.root), read_blobs(blobs))
     if not isinstance(made, Success):
         raise CommandError(f"refused: {made.failure()}", EXIT_REFUSED)
     return signed, made.unwrap()
@@ -137,9 +137,9 @@
         "version": bundle.version,
         "digest": bundle.digest,
         "approvers": approvers,
-        "adapters": len(list(bundle.adapters())),
+        "adapters": len(list(bundle.iter_adapters())),
     }
-    return Output((line, f"{len(list(bundle.adapters()))} adapters"), document)
+    return Output((line, f"{len(list(bundle.iter_adapters()))} adapters"), document)
 
 
 def roll_verb(arguments: Namespace) -> Output:
@@ -148,8 +148,8 @@
     signed, bundle = check_whole(arguments.root, blobs, arguments.settings)
     published = arguments.publish / ROOT_NAME
     if published.exists():
-        verdict = compare(signed.root, read_signed(published).root)
-        if verdict is not Verdict.NEWER:
+        verdict = compare_roots(signed.root, read_signed(published).root)
+        if verdict is not RootComparison.NEWER:
             message = f"refused: {verdict.value} beside the published version"
             raise CommandError(message, EXIT_REFUSED)
     needed = {
@@ -160,6 +160,6 @@
     have = read_blobs(blobs)
     # The root goes last: whoever sees it finds every blob that it names.
     write_blobs(arguments.publish, {d: have[d] for d in needed})
-    write_whole(published, encode_signed(signed))
+    write_whole(published, encode_signed_root(signed))
     document = {"version": bundle.version, "digest": bundle.digest}
     return Output((f"version {bundle.version} is to be published",), document)
--- a/packages/cli/src/sardinequay_cli/files.py
+++ b/packages/cli/src/sardinequay_cli/files.py
@@ -10,7 +10,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from returns.result import Success
 
-from sardinequay_core.approval import SignedRoot, Trust, encode_signed, parse_signed
+from sardinequay_core.approval import SignedRoot, ApprovalPolicy, encode_signed_root, parse_signed_root
 from sardinequay_core.bundle import Contents
 from sardinequay_core.names import Digest
 from sardinequay_daemon.settings import Settings
@@ -42,7 +42,7 @@
 
 def read_signed(path: Path) -> SignedRoot:
     """Read a root with the approvals it has so far."""
-    parsed = parse_signed(read_bytes(path))
+    parsed = parse_signed_root(read_bytes(path))
     if not isinstance(parsed, Success):
         raise CommandError(f"{path}: {parsed.failure()}", EXIT_REFUSED)
     signed: SignedRoot = parsed.unwrap()
@@ -51,7 +51,7 @@
 
 def write_signed(path: Path, signed: SignedRoot) -> None:
     """Write a root with its approvals so that a reader sees the old or the new one."""
-    write_whole(path, encode_signed(signed))
+    write_whole(path, encode_signed_root(signed))
 
 
 def write_whole(path: Path, data: bytes) -> None:
@@ -82,10 +82,10 @@
             write_whole(path, blob)
 
 
-def read_trust(path: Path) -> Trust:
+def read_trust(path: Path) -> ApprovalPolicy:
     """Read the approvers' keys and the threshold from a host's settings."""
     settings = read_host_settings(path)
-    return Trust(settings.trust.keys, settings.trust.threshold)
+    return ApprovalPolicy(settings.trust.keys, settings.trust.threshold)
 
 
 def read_host_settings(path: Path) -> Settings:
--- a/packages/core/src/sardinequay_core/approval.py
+++ b/packages/core/src/sardinequay_core/approval.py
@@ -12,11 +12,11 @@
 )
 from returns.result import Failure, Result, Success
 
-from .bundle import FANOUT, FORMAT, MAX_VALUE_BYTES, Root, decode, digest_of
+from .bundle import FANOUT, FORMAT, MAX_VALUE_BYTES, Root, decode_json, compute_digest
 from .errors import BundleError
 from .names import Digest
 
-DOMAIN = b"sardinequay bundle root\x00"
+SIGNATURE_DOMAIN = b"sardinequay bundle root\x00"
 """Prefix of what is signed, so that a signature serves no other purpose."""
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trust:
+class ApprovalPolicy:
     """Whose approvals count, and how many a bundle needs.
 
     Parameters
@@ -60,28 +60,28 @@
 
 def root_digest(root: Root) -> Digest:
     """Return the content address of a root."""
-    return digest_of(root_bytes(root))
+    return compute_digest(root_bytes(root))
 
 
-def encode_signed(signed: SignedRoot) -> bytes:
+def encode_signed_root(signed: SignedRoot) -> bytes:
     """Return what the platform publishes as the root's value."""
     return msgspec.json.encode(signed, order="deterministic")
 
 
-def approve(signed: SignedRoot, key_id: str, key: Ed25519PrivateKey) -> SignedRoot:
+def add_approval(signed: SignedRoot, key_id: str, key: Ed25519PrivateKey) -> SignedRoot:
     """Return the root with one more approval; an older one by this key is replaced."""
-    signature = key.sign(DOMAIN + root_bytes(signed.root)).hex()
+    signature = key.sign(SIGNATURE_DOMAIN + root_bytes(signed.root)).hex()
     others = tuple(a for a in signed.approvals if a.key_id != key_id)
     return SignedRoot(signed.root, (*others, Approval(key_id, signature)))
 
 
-def valid_approvers(signed: SignedRoot, trust: Trust) -> set[str]:
+def valid_approvers(signed: SignedRoot, trust: ApprovalPolicy) -> set[str]:
     """Return the ids of trusted keys whose signature holds."""
-    message = DOMAIN + root_bytes(signed.root)
-    return {a.key_id for a in signed.approvals if is_valid(a, message, trust)}
+    message = SIGNATURE_DOMAIN + root_bytes(signed.root)
+    return {a.key_id for a in signed.approvals if is_valid_signature(a, message, trust)}
 
 
-def is_valid(approval: Approval, message: bytes, trust: Trust) -> bool:
+def is_valid_signature(approval: Approval, message: bytes, trust: ApprovalPolicy) -> bool:
     """Return whether a trusted key made this signature over `message`."""
     public = trust.keys.get(approval.key_id)
     if public is None:
@@ -94,14 +94,14 @@
     return True
 
 
-def parse_signed(data: bytes) -> Result[SignedRoot, BundleError]:
+def parse_signed_root(data: bytes) -> Result[SignedRoot, BundleError]:
     """Read a signed root without judging its approvals."""
     if len(data) > MAX_VALUE_BYTES:
         return Failure(BundleError("too_large", f"root of {len(data)} bytes"))
-    return decode(data, SignedRoot, "root").bind(check_shape)
+    return decode_json(data, SignedRoot, "root").bind(check_root_format)
 
 
-def check_shape(signed: SignedRoot) -> Result[SignedRoot, BundleError]:
+def check_root_format(signed: SignedRoot) -> Result[SignedRoot, BundleError]:
     """Refuse roots of another format or with impossible fields."""
     root = signed.root
     if root.format != FORMAT:
@@ -111,13 +111,13 @@
     return Success(signed)
 
 
-def verify(data: bytes, trust: Trust) -> Result[SignedRoot, BundleError]:
+def verify_signed_root(data: bytes, trust: ApprovalPolicy) -> Result[SignedRoot, BundleError]:
     """Read a signed root and check that enough trusted keys approved it."""
-    return parse_signed(data).bind(lambda signed: check_threshold(signed, trust))
+    return parse_signed_root(data).bind(lambda signed: check_approval_threshold(signed, trust))
 
 
-def check_threshold(
-    signed: SignedRoot, trust: Trust
+def check_approval_threshold(
+    signed: SignedRoot, trust: ApprovalPolicy
 ) -> Result[SignedRoot, BundleError]:
     """Refuse a root with too few valid approvals."""
     count = len(valid_approvers(signed, trust))
@@ -127,7 +127,7 @@
     return Success(signed)
 
 
-class Verdict(Enum):
+class RootComparison(Enum):
     """What to do with a verified root beside the one in force."""
 
     NEWER = "newer"
@@ -136,11 +136,11 @@
     CONFLICT = "conflict"
 
 
-def compare(offered: Root, in_force: Root | None) -> Verdict:
+def compare_roots(offered: Root, in_force: Root | None) -> RootComparison:
     """Judge an offered root: versions only rise, and one version is one bundle."""
     if in_force is None or offered.version > in_force.version:
-        return Verdict.NEWER
+        return RootComparison.NEWER
     if offered.version < in_force.version:
-        return Verdict.OLDER
+        return RootComparison.OLDER
     same = root_digest(offered) == root_digest(in_force)
-    return Verdict.SAME if same else Verdict.CONFLICT
+    return RootComparison.SAME if same else RootComparison.CONFLICT
--- a/packages/core/src/sardinequay_core/bundle.py
+++ b/packages/core/src/sardinequay_core/bundle.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weights:
+class PlacementWeights:
     """How much each measure counts in a pool's placement, 0 to 1."""
 
     load_stalls: float = 0.5
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pool:
+class PoolSettings:
     """A set of alike targets.
 
     Parameters
@@ -82,7 +82,7 @@
     loads_per_s: float = 0.0
     slots: int = 0
     max_running: int = 64
-    weights: Weights = Weights()
+    weights: PlacementWeights = PlacementWeights()
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,11 +95,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Base:
+class BundleBase:
     """The part of a bundle that is not adapters."""
 
     callers: tuple[Caller, ...] = ()
-    pools: tuple[Pool, ...] = ()
+    pools: tuple[PoolSettings, ...] = ()
     services: tuple[Service, ...] = ()
 
 
@@ -128,7 +128,7 @@
 class Contents:
     """Everything that a bundle offers, as an operator writes it."""
 
-    base: Base = field(default_factory=Base)
+    base: BundleBase = field(default_factory=BundleBase)
     adapters: tuple[Adapter, ...] = ()
 
 
@@ -147,38 +147,38 @@
     version: int
     digest: Digest
     callers: Mapping[str, Caller]
-    pools: Mapping[PoolName, Pool]
+    pools: Mapping[PoolName, PoolSettings]
     services: tuple[Service, ...]
     leaves: tuple[Leaf, ...]
 
-    def named(self, name: str) -> Adapter | None:
+    def find_adapter(self, name: str) -> Adapter | None:
         """Return the adapter with a name, whichever versions of it are offered."""
-        return self.leaves[leaf_of(name)].adapters.get(name)
+        return self.leaves[leaf_index(name)].adapters.get(name)
 
-    def adapter(self, ref: AdapterRef) -> Adapter | None:
+    def find_adapter_version(self, ref: AdapterRef) -> Adapter | None:
         """Return the adapter if this version of it is offered."""
-        found = self.named(ref.name)
+        found = self.find_adapter(ref.name)
         return found if found and ref.version in found.versions else None
 
-    def adapters(self) -> Iterator[Adapter]:
+    def iter_adapters(self) -> Iterator[Adapter]:
         """Yield all adapters."""
         for leaf in self.leaves:
             yield from leaf.adapters.values()
 
-    def caller(self, token: str) -> Caller | None:
+    def find_caller_by_token(self, token: str) -> Caller | None:
         """Return the caller that owns `token`."""
         return self.callers.get(sha256(token.encode()).hexdigest())
 
-    def service(self, path: str) -> Service | None:
+    def find_service(self, path: str) -> Service | None:
         """Return the service with the longest prefix of `path`."""
-        fits = (s for s in self.services if is_below(path, s.prefix))
+        fits = (s for s in self.services if is_under_prefix(path, s.prefix))
         return max(fits, key=lambda s: len(s.prefix), default=None)
 
-    def offered_to(self, caller: CallerName) -> list[AdapterRef]:
+    def adapters_for_caller(self, caller: CallerName) -> list[AdapterRef]:
         """Return what one caller may name, sorted."""
         return sorted(
             AdapterRef(adapter.name, version)
-            for adapter in self.adapters()
+            for adapter in self.iter_adapters()
             if caller in adapter.callers
             for version in adapter.versions
         )
@@ -192,29 +192,29 @@
     blobs: Mapping[Digest, bytes]
 
 
-def is_below(path: str, prefix: str) -> bool:
+def is_under_prefix(path: str, prefix: str) -> bool:
     """Return whether `path` is `prefix` or lies under it."""
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
 
 
-def digest_of(data: bytes) -> Digest:
+def compute_digest(data: bytes) -> Digest:
     """Return the content address of `data`."""
     return Digest(sha256(data).hexdigest())
 
 
-def leaf_of(name: str) -> int:
+def leaf_index(name: str) -> int:
     """Return the leaf that holds an adapter."""
     return blake2b(name.encode(), digest_size=1).digest()[0]
 
 
-def pack(value: object) -> bytes:
+def compress_value(value: object) -> bytes:
     """Return the canonical packed form of a part of a bundle."""
     return zlib.compress(msgspec.json.encode(value, order="deterministic"), 9)
 
 
-def unpack(blob: bytes, digest: Digest) -> Result[bytes, BundleError]:
+def decompress_blob(blob: bytes, digest: Digest) -> Result[bytes, BundleError]:
     """Check a blob against its address and return its unpacked bytes."""
-    if digest_of(blob) != digest:
+    if compute_digest(blob) != digest:
         return Failure(BundleError("digest_mismatch", f"blob {digest}"))
     try:
         unpacker = zlib.decompressobj()
@@ -226,16 +226,16 @@
     return Success(data)
 
 
-def build(contents: Contents, version: int, note: str = "") -> BuiltBundle:
+def build_bundle(contents: Contents, version: int, note: str = "") -> BuiltBundle:
     """Spread `contents` over blobs and return them under a root."""
     leaves: list[list[Adapter]] = [[] for _ in range(LEAVES)]
     for adapter in sorted(contents.adapters, key=lambda a: a.name):
-        leaves[leaf_of(adapter.name)].append(adapter)
+        leaves[leaf_index(adapter.name)].append(adapter)
     blobs: dict[Digest, bytes] = {}
 
     def store(value: object) -> Digest:
-        blob = pack(value)
-        digest = digest_of(blob)
+        blob = compress_value(value)
+        digest = compute_digest(blob)
         blobs[digest] = blob
         return digest
 
@@ -245,7 +245,7 @@
     return BuiltBundle(root, blobs)
 
 
-def decode(data: bytes, kind: type[T], what: str) -> Result[T, BundleError]:
+def decode_json(data: bytes, kind: type[T], what: str) -> Result[T, BundleError]:
     """Read JSON into `kind`, turning the decoder's errors."""
     try:
         return Success(msgspec.json.decode(data, type=kind))
@@ -253,14 +253,14 @@
         return Failure(BundleError("malformed", f"{what}: {error}"))
 
 
-def read_part(
+def read_blob(
     blobs: Mapping[Digest, bytes], digest: Digest, kind: type[T], what: str
 ) -> Result[T, BundleError]:
     """Look up, check and decode one blob."""
     blob = blobs.get(digest)
     if blob is None:
         return Failure(BundleError(MISSING_BLOB, f"{what} {digest}"))
-    return unpack(blob, digest).bind(lambda data: decode(data, kind, what))
+    return decompress_blob(blob, digest).bind(lambda data: decode_json(data, kind, what))
 
 
 def missing_blobs(
@@ -272,25 +272,25 @@
         return first
     wanted: set[Digest] = set()
     for node in root.index:
-        wanted.update(read_part(blobs, node, list[Digest], "index").value_or([]))
+        wanted.update(read_blob(blobs, node, list[Digest], "index").value_or([]))
     return wanted - blobs.keys() - set(known_leaves)
 
 
-def assemble(
+def assemble_bundle(
     root: Root,
     root_digest: Digest,
     blobs: Mapping[Digest, bytes],
     previous: Bundle | None = None,
 ) -> Result[Bundle, BundleError]:
     """Read all blobs of a root into a `Bundle`, reusing leaves that did not change."""
-    base = read_part(blobs, root.base, Base, "base")
+    base = read_blob(blobs, root.base, BundleBase, "base")
     if not isinstance(base, Success):
         return Failure(base.failure())
     known = {leaf.digest: leaf for leaf in previous.leaves} if previous else {}
     shared: dict[object, object] = {}
     leaves: list[Leaf] = []
     for node in root.index:
-        digests = read_part(blobs, node, list[Digest], "index")
+        digests = read_blob(blobs, node, list[Digest], "index")
         if not isinstance(digests, Success):
             return Failure(digests.failure())
         for digest in digests.unwrap():
@@ -322,12 +322,12 @@
     """Return the adapters of one leaf, decoded at most once over bundles."""
     if digest in known:
         return Success(known[digest])
-    return read_part(blobs, digest, list[Adapter], "leaf").map(
-        lambda adapters: Leaf(digest, {a.name: thrifty(a, shared) for a in adapters})
+    return read_blob(blobs, digest, list[Adapter], "leaf").map(
+        lambda adapters: Leaf(digest, {a.name: intern_adapter_fields(a, shared) for a in adapters})
     )
 
 
-def thrifty(adapter: Adapter, shared: dict[object, object]) -> Adapter:
+def intern_adapter_fields(adapter: Adapter, shared: dict[object, object]) -> Adapter:
     """Return an adapter whose parts that many adapters repeat are kept once."""
 
     def once(value: T) -> T:
--- a/packages/core/src/sardinequay_core/bundle_diff.py
+++ b/packages/core/src/sardinequay_core/bundle_diff.py
@@ -8,7 +8,7 @@
 from .bundle import Contents
 
 
-class Change(Enum):
+class ChangeKind(Enum):
     """What becomes of an entry."""
 
     ADDED = "added"
@@ -30,36 +30,36 @@
         )
 
 
-def diff(old: Contents, new: Contents) -> list[Difference]:
+def diff_contents(old: Contents, new: Contents) -> list[Difference]:
     """Return all differences, in a fixed order."""
     found = [
-        *compare("callers", by(old.base.callers, "name"), by(new.base.callers, "name")),
-        *compare("pools", by(old.base.pools, "name"), by(new.base.pools, "name")),
-        *compare(
-            "services", by(old.base.services, "prefix"), by(new.base.services, "prefix")
+        *diff_entries("callers", index_by_field(old.base.callers, "name"), index_by_field(new.base.callers, "name")),
+        *diff_entries("pools", index_by_field(old.base.pools, "name"), index_by_field(new.base.pools, "name")),
+        *diff_entries(
+            "services", index_by_field(old.base.services, "prefix"), index_by_field(new.base.services, "prefix")
         ),
-        *compare("adapters", by(old.adapters, "name"), by(new.adapters, "name")),
+        *diff_entries("adapters", index_by_field(old.adapters, "name"), index_by_field(new.adapters, "name")),
     ]
     return sorted(found)
 
 
-def by(entries: Iterable[Any], name: str) -> dict[str, Any]:
+def index_by_field(entries: Iterable[Any], name: str) -> dict[str, Any]:
     """Return entries by one of their fields."""
     return {getattr(entry, name): entry for entry in entries}
 
 
-def compare(
+def diff_entries(
     kind: str, old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> Iterator[Difference]:
     """Yield the differences between two sets of entries of a kind."""
     for name in old.keys() - new.keys():
-        yield Difference(f"{kind}.{name}", Change.REMOVED.value)
+        yield Difference(f"{kind}.{name}", ChangeKind.REMOVED.value)
     for name in new.keys() - old.keys():
-        yield Difference(f"{kind}.{name}", Change.ADDED.value)
+        yield Difference(f"{kind}.{name}", ChangeKind.ADDED.value)
     for name in old.keys() & new.keys():
         if old[name] != new[name]:
             details = "; ".join(field_changes(old[name], new[name]))
-            yield Difference(f"{kind}.{name}", Change.CHANGED.value, details)
+            yield Difference(f"{kind}.{name}", ChangeKind.CHANGED.value, details)
 
 
 def field_changes(old: Any, new: Any) -> Iterator[str]:
--- a/packages/core/src/sardinequay_core/bundle_lint.py
+++ b/packages/core/src/sardinequay_core/bundle_lint.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping
 from dataclasses import dataclass
 
-from .bundle import MAX_VALUE_BYTES, Adapter, BuiltBundle, Contents, Pool, Service
+from .bundle import MAX_VALUE_BYTES, Adapter, BuiltBundle, Contents, PoolSettings, Service
 from .names import MAX_NAME_CHARS, SEPARATOR, AdapterRef, PoolName
 
 MAX_PRIORITY = 9
@@ -23,15 +23,15 @@
         return f"{self.where} is {self.value}; allowed: {self.allowed}"
 
 
-def lint(contents: Contents) -> list[Finding]:
+def lint_contents(contents: Contents) -> list[Finding]:
     """Return all faults of a bundle's contents, in a fixed order."""
     base = contents.base
     findings = [
-        *repeated("callers", (c.name for c in base.callers)),
-        *repeated("callers.token_sha256", (c.token_sha256 for c in base.callers)),
-        *repeated("pools", (p.name for p in base.pools)),
-        *repeated("services", (s.prefix for s in base.services)),
-        *repeated("adapters", (a.name for a in contents.adapters)),
+        *duplicate_findings("callers", (c.name for c in base.callers)),
+        *duplicate_findings("callers.token_sha256", (c.token_sha256 for c in base.callers)),
+        *duplicate_findings("pools", (p.name for p in base.pools)),
+        *duplicate_findings("services", (s.prefix for s in base.services)),
+        *duplicate_findings("adapters", (a.name for a in contents.adapters)),
         *caller_findings(contents),
     ]
     for pool in base.pools:
@@ -45,7 +45,7 @@
     return sorted(findings)
 
 
-def repeated(where: str, names: Iterable[str]) -> Iterator[Finding]:
+def duplicate_findings(where: str, names: Iterable[str]) -> Iterator[Finding]:
     """Yield names that stand more than once."""
     for name, count in Counter(names).items():
         if count > 1:
@@ -65,7 +65,7 @@
             yield Finding(f"{where}.max_priority", value, f"0 to {MAX_PRIORITY}")
 
 
-def pool_findings(pool: Pool) -> Iterator[Finding]:
+def pool_findings(pool: PoolSettings) -> Iterator[Finding]:
     """Yield faults of one pool."""
     where = f"pools.{pool.name}"
     numbers = (
@@ -92,11 +92,11 @@
     if service.pool not in {p.name for p in contents.base.pools}:
         yield Finding(f"{where}.pool", repr(service.pool), "a pool of this bundle")
     known = {c.name for c in contents.base.callers}
-    yield from unknown_callers(where, service.callers, known)
+    yield from unknown_caller_findings(where, service.callers, known)
 
 
 def adapter_findings(
-    adapter: Adapter, pools: Mapping[PoolName, Pool], callers: Collection[str]
+    adapter: Adapter, pools: Mapping[PoolName, PoolSettings], callers: Collection[str]
 ) -> Iterator[Finding]:
     """Yield faults of one adapter."""
     where = f"adapters.{adapter.name}"
@@ -113,10 +113,10 @@
         if not version or SEPARATOR in version or len(ref) > MAX_NAME_CHARS:
             allowed = f"1 to {MAX_NAME_CHARS} characters with the name, without @"
             yield Finding(f"{where}.versions", repr(version[:80]), allowed)
-    yield from unknown_callers(where, adapter.callers, callers)
+    yield from unknown_caller_findings(where, adapter.callers, callers)
 
 
-def unknown_callers(
+def unknown_caller_findings(
     where: str, named: Iterable[str], known: Collection[str]
 ) -> Iterator[Finding]:
     """Yield callers that the bundle does not define."""
--- a/packages/core/src/sardinequay_core/catalogue.py
+++ b/packages/core/src/sardinequay_core/catalogue.py
@@ -108,9 +108,9 @@
     config: ServingConfig | None = None
     targets: Mapping[TargetId, PublishedTarget] = field(default_factory=dict)
     unconfirmed: Mapping[TargetId, Instant] = field(default_factory=dict)
-    newest: Mapping[str, str] = field(default_factory=dict)
+    newest_versions: Mapping[str, str] = field(default_factory=dict)
 
-    def live(self, pool: PoolName) -> tuple[PublishedTarget, ...]:
+    def live_targets(self, pool: PoolName) -> tuple[PublishedTarget, ...]:
         """Return the targets of a pool that take new work."""
         return tuple(
             t
@@ -124,7 +124,7 @@
         return listed is not None and listed.target.presence is Presence.LIVE
 
 
-def says_the_same(one: Catalogue, other: Catalogue) -> bool:
+def is_equal_except_revisions(one: Catalogue, other: Catalogue) -> bool:
     """Return whether two catalogues differ in nothing but revisions.
 
     Targets renew their entries all the time, most often with the same content.
@@ -132,7 +132,7 @@
     return (
         one.config == other.config
         and one.unconfirmed == other.unconfirmed
-        and one.newest == other.newest
+        and one.newest_versions == other.newest_versions
         and one.targets.keys() == other.targets.keys()
         and all(
             was is is_now or replace(was, revision=is_now.revision) == is_now
@@ -142,7 +142,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Absence:
+class RemovalPolicy:
     """How an entry's removal is taken.
 
     Parameters
@@ -156,21 +156,21 @@
 
 
 @singledispatch
-def fold(change: Change, catalogue: Catalogue, absence: Absence) -> Catalogue:
+def apply_change(change: Change, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
     """Return the catalogue with one change folded in."""
     raise TypeError(f"no change of the catalogue: {change!r}")
 
 
-@fold.register
-def _(change: ConfigPublished, catalogue: Catalogue, absence: Absence) -> Catalogue:
+@apply_change.register
+def _(change: ConfigPublished, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
     current = catalogue.config
     if current is not None and change.config.version <= current.version:
         return catalogue
     return replace(catalogue, config=change.config)
 
 
-@fold.register
-def _(change: TargetPublished, catalogue: Catalogue, absence: Absence) -> Catalogue:
+@apply_change.register
+def _(change: TargetPublished, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
     published = change.published
     target_id = published.target.target_id
     known = catalogue.targets.get(target_id)
@@ -182,12 +182,12 @@
     return replace(
         catalogue,
         targets={**catalogue.targets, target_id: published},
-        unconfirmed=without(catalogue.unconfirmed, target_id),
+        unconfirmed=without_key(catalogue.unconfirmed, target_id),
     )
 
 
-@fold.register
-def _(change: TargetRemoved, catalogue: Catalogue, absence: Absence) -> Catalogue:
+@apply_change.register
+def _(change: TargetRemoved, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
     target_id = change.target_id
     known = catalogue.targets.get(target_id)
     if known is None:
@@ -200,49 +200,49 @@
         return replace(catalogue, unconfirmed=kept)
     return replace(
         catalogue,
-        targets=without(catalogue.targets, target_id),
-        unconfirmed=without(catalogue.unconfirmed, target_id),
+        targets=without_key(catalogue.targets, target_id),
+        unconfirmed=without_key(catalogue.unconfirmed, target_id),
     )
 
 
-@fold.register
-def _(change: TargetUnreadable, catalogue: Catalogue, absence: Absence) -> Catalogue:
+@apply_change.register
+def _(change: TargetUnreadable, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
     return replace(
         catalogue,
-        targets=without(catalogue.targets, change.target_id),
-        unconfirmed=without(catalogue.unconfirmed, change.target_id),
+        targets=without_key(catalogue.targets, change.target_id),
+        unconfirmed=without_key(catalogue.unconfirmed, change.target_id),
     )
 
 
-@fold.register
-def _(change: VersionPublished, catalogue: Catalogue, absence: Absence) -> Catalogue:
-    known = catalogue.newest.get(change.name)
+@apply_change.register
+def _(change: VersionPublished, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
+    known = catalogue.newest_versions.get(change.name)
     if known is not None and int(known) >= int(change.version):
         return catalogue
-    newest = {**catalogue.newest, change.name: change.version}
-    return replace(catalogue, newest=newest)
+    newest = {**catalogue.newest_versions, change.name: change.version}
+    return replace(catalogue, newest_versions=newest)
 
 
-def without(mapping: Mapping[K, V], key: K) -> Mapping[K, V]:
+def without_key(mapping: Mapping[K, V], key: K) -> Mapping[K, V]:
     """Return a mapping without one key."""
     if key not in mapping:
         return mapping
     return {k: v for k, v in mapping.items() if k != key}
 
 
-def expire(catalogue: Catalogue, now: Instant) -> Catalogue:
+def expire_unconfirmed(catalogue: Catalogue, now: Instant) -> Catalogue:
     """Drop targets whose entries did not come back in time."""
     gone = [t for t, until in catalogue.unconfirmed.items() if now >= until]
     for target_id in gone:
-        catalogue = fold(TargetRemoved(target_id), catalogue, Absence())
+        catalogue = apply_change(TargetRemoved(target_id), catalogue, RemovalPolicy())
     return catalogue
 
 
-def replace_listing(
+def apply_listing(
     catalogue: Catalogue,
     changes: tuple[Change, ...],
     revision: int,
-    absence: Absence,
+    absence: RemovalPolicy,
 ) -> Catalogue:
     """Return the catalogue after a complete listing; what it lacks was removed."""
     listed = {
@@ -250,7 +250,7 @@
     }
     for target_id in tuple(catalogue.targets):
         if target_id not in listed:
-            catalogue = fold(TargetRemoved(target_id), catalogue, absence)
+            catalogue = apply_change(TargetRemoved(target_id), catalogue, absence)
     for change in changes:
-        catalogue = fold(change, catalogue, absence)
+        catalogue = apply_change(change, catalogue, absence)
     return replace(catalogue, revision=max(revision, catalogue.revision))
--- a/packages/core/src/sardinequay_core/rendezvous.py
+++ b/packages/core/src/sardinequay_core/rendezvous.py
@@ -14,27 +14,27 @@
 SCORE_RANGE = float(1 << (8 * SCORE_BYTES))
 
 
-def score(key: str, member: str) -> int:
+def rendezvous_score(key: str, member: str) -> int:
     """Return the rank score of `member` for `key`; the highest owns the key."""
     data = f"{key}\x00{member}".encode()
     return int.from_bytes(blake2b(data, digest_size=SCORE_BYTES).digest(), "big")
 
 
-def rank(key: str, members: Iterable[str]) -> list[str]:
+def rank_members(key: str, members: Iterable[str]) -> list[str]:
     """Return `members` from the best to the worst for `key`."""
     return sorted(
-        members, key=lambda member: (score(key, member), member), reverse=True
+        members, key=lambda member: (rendezvous_score(key, member), member), reverse=True
     )
 
 
-def rank_weighted(key: str, weights: Mapping[str, float]) -> list[str]:
+def rank_members_weighted(key: str, weights: Mapping[str, float]) -> list[str]:
     """Return members from the best to the worst, each first in proportion to weight.
 
     Members whose weight is not positive are left out.
     """
 
     def weighted(member: str) -> tuple[float, str]:
-        uniform = (score(key, member) + 1) / (SCORE_RANGE + 1)
+        uniform = (rendezvous_score(key, member) + 1) / (SCORE_RANGE + 1)
         return -weights[member] / math.log(uniform), member
 
     return sorted((m for m in weights if weights[m] > 0), key=weighted, reverse=True)
--- a/packages/core/src/sardinequay_core/roster.py
+++ b/packages/core/src/sardinequay_core/roster.py
@@ -65,11 +65,11 @@
             for t in self.targets
         )
 
-    def hosts_in(self, data_centre: DataCentre) -> tuple[EntryHost, ...]:
+    def hosts_in_data_centre(self, data_centre: DataCentre) -> tuple[EntryHost, ...]:
         """Return the entry hosts of one data centre."""
         return tuple(h for h in self.entry_hosts if h.data_centre == data_centre)
 
-    def targets_of(self, pool: PoolName) -> tuple[Target, ...]:
+    def targets_in_pool(self, pool: PoolName) -> tuple[Target, ...]:
         """Return the targets of one pool, the leaving ones too."""
         return tuple(t for t in self.targets if t.pool == pool)
 
--- a/packages/core/src/sardinequay_core/views.py
+++ b/packages/core/src/sardinequay_core/views.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from .names import Address, DataCentre, HostId
-from .rendezvous import rank, score
+from .rendezvous import rank_members, rendezvous_score
 from .roster import EntryHost, Presence, Roster
 
 GUARDS = 5
@@ -64,7 +64,7 @@
 ) -> list[EntryHost]:
     """Return the first hosts of a data centre by its own ranking."""
     local = [h for h in hosts if hosts[h].data_centre == data_centre]
-    return [hosts[HostId(h)] for h in rank(f"guards/{data_centre}", local)[:count]]
+    return [hosts[HostId(h)] for h in rank_members(f"guards/{data_centre}", local)[:count]]
 
 
 def neighbours(
@@ -80,4 +80,4 @@
     named, separator, _ = key.partition(HOME_SEPARATOR)
     if separator and named in data_centres:
         return DataCentre(named)
-    return max(data_centres, key=lambda dc: (score(f"home/{key}", dc), dc))
+    return max(data_centres, key=lambda dc: (rendezvous_score(f"home/{key}", dc), dc))
--- a/packages/core/tests/test_bundle.py
+++ b/packages/core/tests/test_bundle.py
@@ -11,37 +11,37 @@
 
 from sardinequay_core.approval import (
     SignedRoot,
-    Trust,
-    Verdict,
-    approve,
-    compare,
-    encode_signed,
+    ApprovalPolicy,
+    RootComparison,
+    add_approval,
+    compare_roots,
+    encode_signed_root,
     root_digest,
-    verify,
+    verify_signed_root,
 )
 from sardinequay_core.bundle import (
     LEAVES,
     Adapter,
-    Base,
+    BundleBase,
     Caller,
     Contents,
-    Pool,
+    PoolSettings,
     Service,
-    assemble,
-    build,
-    digest_of,
+    assemble_bundle,
+    build_bundle,
+    compute_digest,
     missing_blobs,
-    unpack,
+    decompress_blob,
 )
-from sardinequay_core.bundle_diff import diff
-from sardinequay_core.bundle_lint import lint, lint_sizes
+from sardinequay_core.bundle_diff import diff_contents
+from sardinequay_core.bundle_lint import lint_contents, lint_sizes
 from sardinequay_core.names import AdapterRef, CallerName, PoolName
 
 KEYS = {
     n: Ed25519PrivateKey.from_private_bytes(bytes([i]) * 32)
     for i, n in enumerate("abc")
 }
-TRUST = Trust(
+TRUST = ApprovalPolicy(
     {n: k.public_key().public_bytes_raw().hex() for n, k in KEYS.items()}, threshold=2
 )
 KIOSKS = CallerName("kiosks")
@@ -49,9 +49,9 @@
 
 
 def contents(count: int = 3) -> Contents:
-    base = Base(
+    base = BundleBase(
         callers=(Caller(KIOSKS, "0" * 64),),
-        pools=(Pool(POOL, "base", loads_per_s=2, slots=4),),
+        pools=(PoolSettings(POOL, "base", loads_per_s=2, slots=4),),
         services=(Service("/orders", POOL, (KIOSKS,)),),
     )
     adapters = (Adapter(f"a{n}", "base", POOL, ("1",), (KIOSKS,)) for n in range(count))
@@ -59,33 +59,33 @@
 
 
 def signed(version: int = 1, names: str = "ab", note: str = "") -> SignedRoot:
-    made = SignedRoot(build(contents(), version, note).root)
+    made = SignedRoot(build_bundle(contents(), version, note).root)
     for name in names:
-        made = approve(made, name, KEYS[name])
+        made = add_approval(made, name, KEYS[name])
     return made
 
 
 def test_built_bundle_is_assembled_whole() -> None:
-    built = build(contents(500), 1)
-    bundle = assemble(built.root, root_digest(built.root), built.blobs).unwrap()
-    assert len(list(bundle.adapters())) == 500
+    built = build_bundle(contents(500), 1)
+    bundle = assemble_bundle(built.root, root_digest(built.root), built.blobs).unwrap()
+    assert len(list(bundle.iter_adapters())) == 500
     assert len(bundle.leaves) == LEAVES
-    assert bundle.adapter(AdapterRef("a7", "1")).pool == POOL
-    assert bundle.adapter(AdapterRef("a7", "2")) is None
-    assert bundle.service("/orders/17").prefix == "/orders"
-    assert bundle.service("/ordersx") is None
+    assert bundle.find_adapter_version(AdapterRef("a7", "1")).pool == POOL
+    assert bundle.find_adapter_version(AdapterRef("a7", "2")) is None
+    assert bundle.find_service("/orders/17").prefix == "/orders"
+    assert bundle.find_service("/ordersx") is None
 
 
 def test_changing_one_adapter_rewrites_one_leaf_one_node_and_the_root() -> None:
-    old = build(contents(500), 1)
+    old = build_bundle(contents(500), 1)
     adapters = contents(500).adapters
     changed = (replace(adapters[0], versions=("1", "2")), *adapters[1:])
-    new = build(Contents(contents().base, changed), 2)
+    new = build_bundle(Contents(contents().base, changed), 2)
     assert len(new.blobs.keys() - old.blobs.keys()) == 2
 
 
 def test_missing_blobs_come_index_first_then_leaves() -> None:
-    built = build(contents(500), 1)
+    built = build_bundle(contents(500), 1)
     first = missing_blobs(built.root, {})
     assert first == {built.root.base, *built.root.index}
     have = {d: built.blobs[d] for d in first}
@@ -97,65 +97,65 @@
     ("data", "reason"),
     [
         pytest.param(
-            encode_signed(signed(names="a")), "under_signed", id="one approval"
+            encode_signed_root(signed(names="a")), "under_signed", id="one approval"
         ),
-        pytest.param(encode_signed(signed())[:-20], "malformed", id="truncated"),
+        pytest.param(encode_signed_root(signed())[:-20], "malformed", id="truncated"),
         pytest.param(b"", "malformed", id="empty"),
         pytest.param(b"x" * 1_000_001, "too_large", id="over the limit"),
         pytest.param(
-            encode_signed(replace(signed(), root=replace(signed().root, version=9))),
+            encode_signed_root(replace(signed(), root=replace(signed().root, version=9))),
             "under_signed",
             id="tampered",
         ),
         pytest.param(
-            encode_signed(replace(signed(), approvals=signed().approvals[:1] * 2)),
+            encode_signed_root(replace(signed(), approvals=signed().approvals[:1] * 2)),
             "under_signed",
             id="one approval twice",
         ),
         pytest.param(
-            encode_signed(replace(signed(), root=replace(signed().root, format=2))),
+            encode_signed_root(replace(signed(), root=replace(signed().root, format=2))),
             "format",
             id="another format",
         ),
     ],
 )
 def test_bad_roots_are_refused(data: bytes, reason: str) -> None:
-    assert verify(data, TRUST).failure().reason == reason
+    assert verify_signed_root(data, TRUST).failure().reason == reason
 
 
 @given(position=st.integers(0, 10_000), flip=st.integers(1, 255))
 def test_no_flipped_byte_makes_another_root(position: int, flip: int) -> None:
-    data = bytearray(encode_signed(signed()))
+    data = bytearray(encode_signed_root(signed()))
     data[position % len(data)] ^= flip
-    verified = verify(bytes(data), TRUST)
+    verified = verify_signed_root(bytes(data), TRUST)
     assert not isinstance(verified, Success) or verified.unwrap().root == signed().root
 
 
 def test_versions_only_rise_and_one_version_is_one_bundle() -> None:
     one, two = signed(1).root, signed(2).root
-    assert compare(two, one) is Verdict.NEWER
-    assert compare(one, two) is Verdict.OLDER
-    assert compare(one, one) is Verdict.SAME
-    assert compare(signed(2, note="other").root, two) is Verdict.CONFLICT
-    assert compare(one, None) is Verdict.NEWER
+    assert compare_roots(two, one) is RootComparison.NEWER
+    assert compare_roots(one, two) is RootComparison.OLDER
+    assert compare_roots(one, one) is RootComparison.SAME
+    assert compare_roots(signed(2, note="other").root, two) is RootComparison.CONFLICT
+    assert compare_roots(one, None) is RootComparison.NEWER
 
 
 def test_blob_that_unpacks_to_too_much_is_refused() -> None:
     bomb = zlib.compress(b"0" * 20_000_000)
-    assert unpack(bomb, digest_of(bomb)).failure().reason == "too_large"
+    assert decompress_blob(bomb, compute_digest(bomb)).failure().reason == "too_large"
 
 
 def test_wrong_and_missing_blobs_are_refused() -> None:
-    built = build(contents(), 1)
+    built = build_bundle(contents(), 1)
     wrong = {d: b"other" for d in built.blobs}
     digest = root_digest(built.root)
-    assert assemble(built.root, digest, wrong).failure().reason == "digest_mismatch"
-    assert assemble(built.root, digest, {}).failure().reason == "missing_blob"
+    assert assemble_bundle(built.root, digest, wrong).failure().reason == "digest_mismatch"
+    assert assemble_bundle(built.root, digest, {}).failure().reason == "missing_blob"
 
 
 def test_bundle_of_the_target_size_fits_the_service() -> None:
-    built = build(contents(19_000), 1)
-    assert lint_sizes(built, len(encode_signed(SignedRoot(built.root)))) == []
+    built = build_bundle(contents(19_000), 1)
+    assert lint_sizes(built, len(encode_signed_root(SignedRoot(built.root)))) == []
 
 
 def test_lint_names_the_field_the_value_and_what_is_allowed(snapshot) -> None:
@@ -172,8 +172,8 @@
             Adapter("b", "base", PoolName("gone"), ("1@2",), ()),
         ),
     )
-    assert [str(f) for f in lint(bad)] == snapshot
-    assert lint(contents()) == []
+    assert [str(f) for f in lint_contents(bad)] == snapshot
+    assert lint_contents(contents()) == []
 
 
 def test_diff_shows_what_changes(snapshot) -> None:
@@ -183,4 +183,4 @@
         replace(old.base, services=()),
         (replace(first, versions=("1", "2")), second, replace(first, name="new")),
     )
-    assert [str(d) for d in diff(old, new)] == snapshot
+    assert [str(d) for d in diff_contents(old, new)] == snapshot
--- a/packages/core/tests/test_catalogue.py
+++ b/packages/core/tests/test_catalogue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sardinequay_core.catalogue import (
-    Absence,
+    RemovalPolicy,
     Catalogue,
     ConfigPublished,
     PublishedTarget,
@@ -13,10 +13,10 @@
     TargetRemoved,
     TargetUnreadable,
     VersionPublished,
-    expire,
-    fold,
-    replace_listing,
-    says_the_same,
+    expire_unconfirmed,
+    apply_change,
+    apply_listing,
+    is_equal_except_revisions,
 )
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import Address, DataCentre, PoolName, TargetId
@@ -24,8 +24,8 @@
 from sardinequay_core.serving import CallerLimits, make_config
 
 NOW = seconds(100)
-PROMPT = Absence()
-PATIENT = Absence(NOW + seconds(2))
+PROMPT = RemovalPolicy()
+PATIENT = RemovalPolicy(NOW + seconds(2))
 
 
 def published(name: str, revision: int = 1, presence=Presence.LIVE) -> TargetPublished:
@@ -46,56 +46,56 @@
 
 @pytest.fixture
 def one() -> Catalogue:
-    return fold(published("a", 5), Catalogue(), PROMPT)
+    return apply_change(published("a", 5), Catalogue(), PROMPT)
 
 
 def test_older_configuration_never_replaces_a_newer() -> None:
-    newer = fold(config(7), Catalogue(), PROMPT)
-    assert fold(config(5), newer, PROMPT).config.version == 7
-    assert fold(config(9), newer, PROMPT).config.version == 9
+    newer = apply_change(config(7), Catalogue(), PROMPT)
+    assert apply_change(config(5), newer, PROMPT).config.version == 7
+    assert apply_change(config(9), newer, PROMPT).config.version == 9
 
 
 def test_older_entry_of_a_target_is_ignored(one: Catalogue) -> None:
-    late = fold(published("a", 4, Presence.LEAVING), one, PROMPT)
-    assert late.live(PoolName("pool"))
-    assert not fold(published("a", 6, Presence.LEAVING), one, PROMPT).live(
+    late = apply_change(published("a", 4, Presence.LEAVING), one, PROMPT)
+    assert late.live_targets(PoolName("pool"))
+    assert not apply_change(published("a", 6, Presence.LEAVING), one, PROMPT).live_targets(
         PoolName("pool")
     )
 
 
 def test_removed_target_is_dropped_at_once_while_the_store_is_well(one) -> None:
-    assert not fold(TargetRemoved(TargetId("a")), one, PROMPT).targets
+    assert not apply_change(TargetRemoved(TargetId("a")), one, PROMPT).targets
 
 
 def test_entry_that_vanished_in_trouble_is_kept_until_it_can_be_back(one) -> None:
-    kept = fold(TargetRemoved(TargetId("a")), one, PATIENT)
-    assert kept.live(PoolName("pool"))
-    assert expire(kept, NOW + seconds(1.9)).targets
-    assert not expire(kept, NOW + seconds(2)).targets
+    kept = apply_change(TargetRemoved(TargetId("a")), one, PATIENT)
+    assert kept.live_targets(PoolName("pool"))
+    assert expire_unconfirmed(kept, NOW + seconds(1.9)).targets
+    assert not expire_unconfirmed(kept, NOW + seconds(2)).targets
 
 
 def test_entry_that_came_back_stays(one: Catalogue) -> None:
-    kept = fold(TargetRemoved(TargetId("a")), one, PATIENT)
-    back = fold(published("a", 9), kept, PATIENT)
-    assert expire(back, NOW + seconds(60)).targets
+    kept = apply_change(TargetRemoved(TargetId("a")), one, PATIENT)
+    back = apply_change(published("a", 9), kept, PATIENT)
+    assert expire_unconfirmed(back, NOW + seconds(60)).targets
 
 
 def test_leaving_target_that_vanishes_in_trouble_is_gone() -> None:
-    leaving = fold(published("a", 5, Presence.LEAVING), Catalogue(), PROMPT)
-    assert not fold(TargetRemoved(TargetId("a")), leaving, PATIENT).targets
+    leaving = apply_change(published("a", 5, Presence.LEAVING), Catalogue(), PROMPT)
+    assert not apply_change(TargetRemoved(TargetId("a")), leaving, PATIENT).targets
 
 
 def test_listing_removes_what_it_lacks(one: Catalogue) -> None:
-    listed = replace_listing(one, (published("b", 6), config(3)), 8, PROMPT)
+    listed = apply_listing(one, (published("b", 6), config(3)), 8, PROMPT)
     assert set(listed.targets) == {"b"}
     assert listed.revision == 8
     assert listed.config.version == 3
 
 
 def test_newest_version_of_an_adapter_only_rises() -> None:
-    first = fold(VersionPublished("m/a", "10"), Catalogue(), PROMPT)
-    assert fold(VersionPublished("m/a", "9"), first, PROMPT).newest == {"m/a": "10"}
-    assert fold(VersionPublished("m/a", "11"), first, PROMPT).newest == {"m/a": "11"}
+    first = apply_change(VersionPublished("m/a", "10"), Catalogue(), PROMPT)
+    assert apply_change(VersionPublished("m/a", "9"), first, PROMPT).newest_versions == {"m/a": "10"}
+    assert apply_change(VersionPublished("m/a", "11"), first, PROMPT).newest_versions == {"m/a": "11"}
 
 
 def started(revision: int, incarnation: int) -> TargetPublished:
@@ -104,29 +104,29 @@
 
 
 def test_entry_of_an_earlier_start_says_nothing(one: Catalogue) -> None:
-    later = fold(started(6, incarnation=2_000), one, PROMPT)
-    late = fold(started(7, incarnation=1_000), later, PROMPT)
+    later = apply_change(started(6, incarnation=2_000), one, PROMPT)
+    late = apply_change(started(7, incarnation=1_000), later, PROMPT)
     assert late.targets[TargetId("a")].incarnation == 2_000
-    again = fold(started(8, incarnation=3_000), late, PROMPT)
+    again = apply_change(started(8, incarnation=3_000), late, PROMPT)
     assert again.targets[TargetId("a")].incarnation == 3_000
 
 
 def test_entry_that_is_not_understood_names_no_target(one: Catalogue) -> None:
     spoiled = TargetUnreadable(TargetId("a"), "no address")
-    assert not fold(spoiled, one, PATIENT).targets
-    other = fold(published("b", 6), one, PROMPT)
-    assert set(fold(spoiled, other, PROMPT).targets) == {"b"}
+    assert not apply_change(spoiled, one, PATIENT).targets
+    other = apply_change(published("b", 6), one, PROMPT)
+    assert set(apply_change(spoiled, other, PROMPT).targets) == {"b"}
 
 
 def test_listing_drops_a_target_whose_entry_is_not_understood(one: Catalogue) -> None:
     changes = (TargetUnreadable(TargetId("a"), "spoiled"), published("b", 8))
-    listed = replace_listing(one, changes, 9, PATIENT)
+    listed = apply_listing(one, changes, 9, PATIENT)
     assert set(listed.targets) == {"b"}
 
 
 def test_a_renewed_entry_says_nothing_new(one: Catalogue) -> None:
-    renewed = fold(published("a", 6), one, PROMPT)
-    assert says_the_same(one, replace(renewed, revision=6))
+    renewed = apply_change(published("a", 6), one, PROMPT)
+    assert is_equal_except_revisions(one, replace(renewed, revision=6))
 
 
 @pytest.mark.parametrize(
@@ -140,5 +140,5 @@
     ],
 )
 def test_any_other_change_says_something_new(one: Catalogue, change) -> None:
-    assert not says_the_same(one, fold(change, one, PROMPT))
-    assert not says_the_same(one, fold(change, one, PATIENT))
+    assert not is_equal_except_revisions(one, apply_change(change, one, PROMPT))
+    assert not is_equal_except_revisions(one, apply_change(change, one, PATIENT))
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -15,7 +15,7 @@
 from sardinequay_core.load_queue import LoadPolicy, LoadQueue
 from sardinequay_core.names import AdapterRef
 from sardinequay_core.outcome import SENT_REASONS, Outcome, Reason, not_run
-from sardinequay_core.rendezvous import rank, rank_weighted
+from sardinequay_core.rendezvous import rank_members, rank_members_weighted
 
 NOW = seconds(100)
 X, Y, Z = (AdapterRef(name, "1") for name in "xyz")
@@ -103,15 +103,15 @@
 def test_rank_is_alike_everywhere_and_moves_little() -> None:
     members = [f"m{n}" for n in range(10)]
     keys = [f"k{n}" for n in range(1000)]
-    before = {k: rank(k, members)[0] for k in keys}
-    after = {k: rank(k, reversed(members[1:]))[0] for k in keys}
+    before = {k: rank_members(k, members)[0] for k in keys}
+    after = {k: rank_members(k, reversed(members[1:]))[0] for k in keys}
     moved = [k for k in keys if before[k] != after[k]]
     assert all(before[k] == "m0" for k in moved)
 
 
 def test_weighted_rank_follows_the_weights() -> None:
     weights = {"a": 3.0, "b": 1.0, "c": 0.0}
-    firsts = [rank_weighted(f"k{n}", weights)[0] for n in range(4000)]
+    firsts = [rank_members_weighted(f"k{n}", weights)[0] for n in range(4000)]
     assert 2800 < firsts.count("a") < 3200
     assert "c" not in firsts
 
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -139,7 +139,7 @@
         exchange = self.exchange
         version = ""
         if self.adapter is not None and self.adapter.name in (
-            self.state.catalogue.newest
+            self.state.catalogue.newest_versions
         ):
             version = self.adapter.version
         terms = SendTerms(
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 
 from sardinequay_core.admission import MAX_PRIORITY
-from sardinequay_core.bundle import Adapter, Bundle, Caller, Pool
+from sardinequay_core.bundle import Adapter, Bundle, Caller, PoolSettings
 from sardinequay_core.claims import MAX_KEY_CHARS
 from sardinequay_core.clock import Instant
 from sardinequay_core.content import content_id
@@ -57,7 +57,7 @@
     path: str
     body: bytes
     adapter: AdapterRef
-    pool: Pool
+    pool: PoolSettings
     stream: bool
 
 
@@ -87,7 +87,7 @@
         text = "no bundle is in force yet"
         return Failure(not_run(Reason.NO_BUNDLE, text, timedelta(seconds=1)))
     scheme, _, token = headers.get("Authorization", "").partition(" ")
-    caller = bundle.caller(token) if scheme.lower() == "bearer" else None
+    caller = bundle.find_caller_by_token(token) if scheme.lower() == "bearer" else None
     if caller is None:
         return Failure(not_run(Reason.UNAUTHENTICATED, "no known bearer token"))
     key = headers.get(KEY_HEADER, "")
@@ -165,10 +165,10 @@
     )
 
 
-def find_offer(envelope: Envelope, ref: AdapterRef) -> Result[Pool, Refusal]:
+def find_offer(envelope: Envelope, ref: AdapterRef) -> Result[PoolSettings, Refusal]:
     """Return the pool of an adapter version, if it is offered to the caller."""
     bundle = envelope.bundle
-    adapter = bundle.named(ref.name)
+    adapter = bundle.find_adapter(ref.name)
     if adapter is None or not is_offered(adapter, envelope.caller):
         # Whether it exists for somebody else is not this caller's to know.
         text = f"model {str(ref)!r} is not offered to you"
--- a/packages/daemon/src/sardinequay_daemon/callers.py
+++ b/packages/daemon/src/sardinequay_daemon/callers.py
@@ -190,7 +190,7 @@
             if not isinstance(read, Success):
                 raise Refused(read.failure())
             return await self.run_model(exchange, read.unwrap())
-        service = envelope.bundle.service(http.path)
+        service = envelope.bundle.find_service(http.path)
         if service is None or envelope.caller.name not in service.callers:
             text = f"nothing is offered to you at {http.path!r}"
             raise Refused(not_run(Reason.UNKNOWN_ROUTE, text))
@@ -217,7 +217,7 @@
 
     def models(self, envelope: Envelope) -> web.Response:
         """Answer with the models that the caller may name."""
-        offered = envelope.bundle.offered_to(envelope.caller.name)
+        offered = envelope.bundle.adapters_for_caller(envelope.caller.name)
         data = [{"id": str(ref), "object": "model"} for ref in offered]
         headers = self.answer_headers(envelope)
         return web.json_response({"object": "list", "data": data}, headers=headers)
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -18,7 +18,7 @@
 from sardinequay_core.names import Address, ContentId, HostId, TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run
 from sardinequay_core.quarantine import Quarantine, TargetEnd
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 from sardinequay_core.roster import Target
 from sardinequay_core.run_permits import PermitBook
 
@@ -224,7 +224,7 @@
 
     def giver(self, content: ContentId) -> HostId:
         """Return the host that gives a content's permits: the same for all hosts."""
-        return HostId(rank(content, self.fleet.known_to_all())[0])
+        return HostId(rank_members(content, self.fleet.known_to_all())[0])
 
     async def is_permitted(self, permit: str, content: ContentId) -> bool:
         """Ask for the permit to run."""
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -160,7 +160,7 @@
         self, data_centre: DataCentre, duty: GuardDuty, joining: Joining
     ) -> None:
         """Ask the hosts of the data centre in which view they vote."""
-        hosts = {h.peer_address for h in self.roster.hosts_in(data_centre)}
+        hosts = {h.peer_address for h in self.roster.hosts_in_data_centre(data_centre)}
         hosts |= {g.address for g in joining.target.guards if g.host_id != self.me}
         query = ViewQuery(data_centre)
         answers = await asyncio.gather(
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from sardinequay_core.admission import Admission, AdmissionPolicy, RetryPolicy
-from sardinequay_core.approval import Trust
+from sardinequay_core.approval import ApprovalPolicy
 from sardinequay_core.bundle import Bundle
 from sardinequay_core.claims import ClaimRequest, HandoverRequest, Settle, ViewQuery
 from sardinequay_core.clock import Clock
@@ -18,7 +18,7 @@
 from sardinequay_core.membership import Member
 from sardinequay_core.names import Address, parse_address
 from sardinequay_core.quarantine import Quarantine, QuarantinePolicy
-from sardinequay_core.rollout import Offered
+from sardinequay_core.rollout import OfferedBundle
 from sardinequay_core.roster import Roster
 
 from .callers import CallerServer
@@ -127,7 +127,7 @@
             self.guard.is_guard,
         )
         self.rollout = RolloutTask(
-            Trust(settings.trust.keys, settings.trust.threshold),
+            ApprovalPolicy(settings.trust.keys, settings.trust.threshold),
             HttpConfigurationService(
                 self.reader(pooled, settings.configuration_service, "configuration")
             ),
@@ -338,8 +338,8 @@
     def hear(self, event: PeerInForce) -> None:
         """Pass on what a peer has in force to those who may want it."""
         said = event.in_force
-        offered = Offered(said.bundle_version, said.bundle_digest)
-        if self.rollout.rollout.is_worth_asking(offered):
+        offered = OfferedBundle(said.bundle_version, said.bundle_digest)
+        if self.rollout.rollout.should_fetch(offered):
             self.rollout.inbox.tell(PeerOffer(offered, event.address))
         if said.roster_number > self.roster.roster.number:
             self.roster.inbox.tell((said.roster_number, event.address))
@@ -351,7 +351,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this host takes requests."""
-        has_all = self.rollout.rollout.may_serve() and self.roster.roster.number > 0
+        has_all = self.rollout.rollout.can_serve() and self.roster.roster.number > 0
         return has_all and not self.is_stopping
 
     def status(self) -> HostStatus:
@@ -365,7 +365,7 @@
             bundle_version=in_place.bundle.version if in_place else 0,
             bundle_digest=in_place.bundle.digest if in_place else "",
             bundle_since=in_place.since.isoformat() if in_place else "",
-            confirmed_by=self.rollout.rollout.heard.value,
+            confirmed_by=self.rollout.rollout.confirmed_by.value,
             bundles_refused=sorted(f"{r} {d}" for r, d in self.rollout.rollout.refused),
             roster_number=self.roster.roster.number,
             in_flight=self.callers.admission.in_flight,
--- a/packages/daemon/src/sardinequay_daemon/hub_table.py
+++ b/packages/daemon/src/sardinequay_daemon/hub_table.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
 from sardinequay_core.names import Address, HostId
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 
 from .peer_table import HUB_ALIVE_FOR, Peer, PeerTable
 from .serving_messages import Contact, HubNotes, Member, Neighbour
@@ -117,7 +117,7 @@
             return self.peers[holder].contact
         here = {p.contact.host_id: p.contact for p in self.alive() if self.is_near(p)}
         here[self.me.host_id] = self.me
-        return here[HostId(rank("hub", here)[0])]
+        return here[HostId(rank_members("hub", here)[0])]
 
     def is_hub(self) -> bool:
         """Return whether this host is the hub of its data centre in a large fleet."""
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -13,7 +13,7 @@
 import reactivex
 from returns.result import Result, Success
 
-from sardinequay_core.bundle import Bundle, Pool
+from sardinequay_core.bundle import Bundle, PoolSettings
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.keeper import SUFFIX_BITS, Keeper
 from sardinequay_core.kept_engine import (
@@ -35,7 +35,7 @@
     TargetId,
     parse_address,
 )
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 from sardinequay_core.roster import Presence, Roster, Target, TargetKind
 
 from .engines import Engines
@@ -84,7 +84,7 @@
 
 def keeper_rank(pool: PoolName, data_centre: DataCentre, hosts: list[str]) -> list[str]:
     """Return hosts in the order in which they keep a pool in a data centre."""
-    return rank(f"keeper/{pool}/{data_centre}", hosts)
+    return rank_members(f"keeper/{pool}/{data_centre}", hosts)
 
 
 class KeeperTask:
@@ -166,7 +166,7 @@
         """Return whether this host is the first in the keepers' order."""
         return keeper_rank(pool, self.data_centre, hosts)[:1] == [self.me]
 
-    def take_up(self, pool: Pool, targets: list[Target]) -> None:
+    def take_up(self, pool: PoolSettings, targets: list[Target]) -> None:
         """Keep a pool's engines here, by the bundle's present policy."""
         local = [t for t in targets if t.data_centre == self.data_centre]
         share = len(local) / len(targets) if targets else 0.0
@@ -180,7 +180,7 @@
         kept.keeper.queue.policy = self.policy(pool, share).loads
         kept.keeper.set_targets(local)
 
-    def policy(self, pool: Pool, share: float) -> KeeperPolicy:
+    def policy(self, pool: PoolSettings, share: float) -> KeeperPolicy:
         """Return a keeper's policy; the store's rate is shared by engines."""
         return KeeperPolicy(
             lease=timedelta(seconds=self.timing.lease_s),
@@ -440,7 +440,7 @@
 
 def engines_of(roster: Roster, pool: PoolName) -> list[Target]:
     """Return a pool's engines over all data centres, leaving ones included."""
-    return [t for t in roster.targets_of(pool) if t.kind is TargetKind.ENGINE]
+    return [t for t in roster.targets_in_pool(pool) if t.kind is TargetKind.ENGINE]
 
 
 def live_engines(roster: Roster, pool: PoolName) -> list[Target]:
--- a/packages/daemon/src/sardinequay_daemon/lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/lease_task.py
@@ -17,7 +17,7 @@
 from sardinequay_core.membership import Member
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run
-from sardinequay_core.rendezvous import rank_weighted
+from sardinequay_core.rendezvous import rank_members_weighted
 from sardinequay_core.roster import EMPTY_ROSTER, Presence, Roster, Target
 
 from .errors import PeerError
@@ -224,7 +224,7 @@
         for target in live_engines(self.roster, pool):
             weights[target.data_centre] = weights.get(target.data_centre, 0) + 1
         now = self.clock.monotonic()
-        ranked = [DataCentre(n) for n in rank_weighted(str(adapter), weights)]
+        ranked = [DataCentre(n) for n in rank_members_weighted(str(adapter), weights)]
         return sorted(ranked, key=lambda dc: self.avoided.get(dc, now) > now)
 
     def keepers(self, keepership: Keepership) -> Iterator[Address]:
@@ -234,7 +234,7 @@
         if local:
             hosts = {str(m.host_id): m.address for m in self.members}
         else:
-            for host in self.roster.hosts_in(keepership.data_centre):
+            for host in self.roster.hosts_in_data_centre(keepership.data_centre):
                 if host.presence is Presence.LIVE:
                     hosts[str(host.host_id)] = host.peer_address
         ranked = keeper_rank(keepership.pool, keepership.data_centre, list(hosts))
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -13,7 +13,7 @@
 from sardinequay_core.clock import Clock
 from sardinequay_core.membership import Health, Member, Membership, MembershipPolicy
 from sardinequay_core.names import Address, DataCentre
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 from sardinequay_core.roster import EMPTY_ROSTER, EntryHost, Presence, Roster
 
 from .mailbox import every
@@ -82,7 +82,7 @@
     def take_roster(self, roster: Roster) -> None:
         """Take hosts of this data centre that were never heard of."""
         self.roster = roster
-        local = roster.hosts_in(self.data_centre)
+        local = roster.hosts_in_data_centre(self.data_centre)
         members = [
             Member(h.host_id, h.peer_address, 0)
             for h in local
@@ -156,7 +156,7 @@
     def is_reader(self) -> bool:
         """Return whether this host watches the platform for its data centre."""
         members = [m.host_id for m in self.membership.live()]
-        ranked = rank(f"readers/{self.data_centre}", members)
+        ranked = rank_members(f"readers/{self.data_centre}", members)
         return self.membership.me.host_id in ranked[:READERS]
 
     def first_peers(self) -> list[Address]:
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -272,7 +272,7 @@
     def rarest_model(self, pool: Pool, engines: EnginePool) -> str | None:
         """Return the model that the fewest engines of a pool hold."""
         held = dict.fromkeys(engines.loadable(), 0)
-        for other in self.catalogue.live(pool.name):
+        for other in self.catalogue.live_targets(pool.name):
             for model in other.models & held.keys():
                 held[model] += 1
         return min(held, key=lambda m: (held[m], m), default=None)
--- a/packages/daemon/src/sardinequay_daemon/peer_table.py
+++ b/packages/daemon/src/sardinequay_daemon/peer_table.py
@@ -10,7 +10,7 @@
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
 from sardinequay_core.fleet_topology import is_mesh
 from sardinequay_core.names import Address, HostId, parse_address
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 
 from .serving_messages import Contact
 
@@ -225,7 +225,7 @@
     def reader_place(self) -> int:
         """Return how many live hosts of this data centre come first as readers."""
         here = [p.contact.host_id for p in self.alive() if self.is_near(p)]
-        return rank("reader", [*here, self.me.host_id]).index(self.me.host_id)
+        return rank_members("reader", [*here, self.me.host_id]).index(self.me.host_id)
 
     def freshest_store_age_s(self) -> float:
         """Return how long ago the freshest live peer heard the store."""
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -248,7 +248,7 @@
 
     def wanted(self, terms: RequestTerms) -> AdapterRef:
         """Return the adapter that a request needs, in its newest version."""
-        version = self.catalogue.newest.get(terms.adapter, FIRST_VERSION)
+        version = self.catalogue.newest_versions.get(terms.adapter, FIRST_VERSION)
         return AdapterRef(terms.adapter, version)
 
     def keepers(self, data_centres: Iterable[str]) -> dict[str, Keeper]:
--- a/packages/daemon/src/sardinequay_daemon/rollout_task.py
+++ b/packages/daemon/src/sardinequay_daemon/rollout_task.py
@@ -14,13 +14,13 @@
 from reactivex.subject import BehaviorSubject
 from returns.result import Failure, Result, Success
 
-from sardinequay_core.approval import SignedRoot, Trust, parse_signed, root_digest
-from sardinequay_core.bundle import MISSING_BLOB, Bundle, assemble, missing_blobs
-from sardinequay_core.bundle import digest_of as blob_digest
+from sardinequay_core.approval import SignedRoot, ApprovalPolicy, parse_signed_root, root_digest
+from sardinequay_core.bundle import MISSING_BLOB, Bundle, assemble_bundle, missing_blobs
+from sardinequay_core.bundle import compute_digest as blob_digest
 from sardinequay_core.clock import Clock
 from sardinequay_core.errors import BundleError
 from sardinequay_core.names import Address, Digest
-from sardinequay_core.rollout import Heard, Offered, Rollout
+from sardinequay_core.rollout import Confirmation, OfferedBundle, Rollout
 
 from .errors import PlatformError
 from .journal import Journal
@@ -43,7 +43,7 @@
 class PeerOffer:
     """Event: a peer says what bundle it has in force."""
 
-    offered: Offered
+    offered: OfferedBundle
     address: Address
 
 
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        trust: Trust,
+        trust: ApprovalPolicy,
         service: ConfigurationService,
         peers: PeerCaller,
         timing: TimingSettings,
@@ -107,11 +107,11 @@
         bound_s = self.timing.join_wait_s
         try:
             async with asyncio.timeout(bound_s):
-                while self.rollout.heard is Heard.NOBODY_YET:
+                while self.rollout.confirmed_by is Confirmation.PENDING:
                     await self.hear_peers(list(first_peers()))
                     await asyncio.sleep(JOIN_PAUSE_S)
         except TimeoutError:
-            self.rollout.heard = Heard.TIMEOUT
+            self.rollout.confirmed_by = Confirmation.TIMED_OUT
             log.warning("no peer heard before serving", extra={"bound_s": bound_s})
 
     async def hear_peers(self, addresses: list[Address]) -> None:
@@ -124,7 +124,7 @@
                 continue
             if reply.data:
                 await self.consider(reply.data, address)
-            self.rollout.heard = Heard.PEERS
+            self.rollout.confirmed_by = Confirmation.PEERS
 
     async def watch(self) -> None:
         """Watch the service as a reader, or while nothing is in force.
@@ -157,7 +157,7 @@
         """Fetch newer bundles from the peers that offer them."""
         while True:
             offer: PeerOffer = (await self.inbox.queue.get()).message
-            if not self.rollout.is_worth_asking(offer.offered):
+            if not self.rollout.should_fetch(offer.offered):
                 continue
             found = await self.peers.call(offer.address, FetchRoot())
             if isinstance(found, Success) and isinstance(found.unwrap(), RootReply):
@@ -172,7 +172,7 @@
             False if it is worth another try, because parts of it were not to be had.
         """
         async with self.changing:
-            judged = self.rollout.judge(data)
+            judged = self.rollout.check_root(data)
             if not isinstance(judged, Success):
                 self.refuse(judged.failure(), data)
                 return True
@@ -189,7 +189,7 @@
         """Tell of a refused bundle: count each time, log each once."""
         self.metrics.bundle_refusals.inc({"reason": error.reason})
         digest = digest_of_signed(data)
-        if not self.rollout.refuse(error, digest):
+        if not self.rollout.record_refusal(error, digest):
             return
         details = {"reason": error.reason, "detail": error.detail, "digest": digest}
         self.journal.note(JOURNAL_SUBJECT, "refused", **details)
@@ -207,7 +207,7 @@
                 return Failure(BundleError(MISSING_BLOB, f"{len(wanted)} blobs"))
             blobs.update(fetched)
         digest = root_digest(signed.root)
-        made = assemble(signed.root, digest, blobs, old.bundle if old else None)
+        made = assemble_bundle(signed.root, digest, blobs, old.bundle if old else None)
         if not isinstance(made, Success):
             return Failure(made.failure())
         bundle = made.unwrap()
@@ -256,7 +256,7 @@
 
 def digest_of_signed(data: bytes) -> Digest:
     """Return the digest of a root's content, or of the bytes if they are none."""
-    parsed = parse_signed(data)
+    parsed = parse_signed_root(data)
     if isinstance(parsed, Success):
         return root_digest(parsed.unwrap().root)
     return blob_digest(data)
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -119,7 +119,7 @@
         now = self.clock.monotonic()
         live = [
             t
-            for t in self.roster.targets_of(request.service.pool)
+            for t in self.roster.targets_in_pool(request.service.pool)
             if t.presence is Presence.LIVE
         ]
         usable = [t for t in live if self.avoided.get(t.target_id, now) <= now]
--- a/packages/daemon/src/sardinequay_daemon/store_task.py
+++ b/packages/daemon/src/sardinequay_daemon/store_task.py
@@ -17,14 +17,14 @@
 from returns.result import Result, Success
 
 from sardinequay_core.catalogue import (
-    Absence,
+    RemovalPolicy,
     Catalogue,
     Change,
     TargetUnreadable,
-    expire,
-    fold,
-    replace_listing,
-    says_the_same,
+    expire_unconfirmed,
+    apply_change,
+    apply_listing,
+    is_equal_except_revisions,
 )
 from sardinequay_core.clock import Clock, Instant, seconds
 
@@ -238,14 +238,14 @@
 
     # Folding.
 
-    def absence(self) -> Absence:
+    def absence(self) -> RemovalPolicy:
         """Return how a vanished entry is to be taken now."""
         now = self.clock.monotonic()
         if self.failures and self.outage_s() >= LAPSE_AFTER_S:
-            return Absence(now + self.entry_return)
+            return RemovalPolicy(now + self.entry_return)
         if self.lapse_until is not None and now < self.lapse_until:
-            return Absence(self.lapse_until)
-        return Absence()
+            return RemovalPolicy(self.lapse_until)
+        return RemovalPolicy()
 
     def outage_s(self) -> float:
         """Return for how long neither this host nor a peer has heard the store."""
@@ -262,7 +262,7 @@
         self.items = listed
         changes = tuple(c for c in map(self.decode, read.items) if c is not None)
         self.publish(
-            replace_listing(self.catalogue, changes, read.revision, self.absence())
+            apply_listing(self.catalogue, changes, read.revision, self.absence())
         )
 
     def take_changes(self, items: tuple[StoreItem, ...], revision: int) -> None:
@@ -272,7 +272,7 @@
             self.keep(item)
             change = self.decode(item)
             if change is not None:
-                catalogue = fold(change, catalogue, self.absence())
+                catalogue = apply_change(change, catalogue, self.absence())
         self.publish(replace(catalogue, revision=max(revision, catalogue.revision)))
 
     def keep(self, item: StoreItem) -> None:
@@ -314,7 +314,7 @@
             return
         self.log_differences(before, catalogue)
         is_due = self.clock.monotonic() - self.told_at >= RENEWALS_TOLD
-        if is_due or not says_the_same(before, catalogue):
+        if is_due or not is_equal_except_revisions(before, catalogue):
             self.told_revision = catalogue.revision
             self.told_at = self.clock.monotonic()
         self.catalogues.on_next(catalogue)
@@ -351,7 +351,7 @@
         While the store is in trouble no entry can come back.
         """
         if self.catalogue.unconfirmed and not self.failures:
-            self.publish(expire(self.catalogue, self.clock.monotonic()))
+            self.publish(expire_unconfirmed(self.catalogue, self.clock.monotonic()))
 
     # Peers.
 
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -5,7 +5,7 @@
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.clock import Instant
 from sardinequay_core.names import PoolName, TargetId
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 from sardinequay_core.residency import Held
 from sardinequay_core.service_choice import ServiceOption
 from sardinequay_core.target_choice import EngineOption, Holding
@@ -22,7 +22,7 @@
 
     def usable(self, pool: PoolName, now: Instant) -> list[PublishedTarget]:
         """Return the targets of a pool that requests may go to."""
-        live = self.state.catalogue.live(pool)
+        live = self.state.catalogue.live_targets(pool)
         self.state.health.hosts = self.state.fleet.live_hosts
         usable = self.state.health.usable((t.target.target_id for t in live), now)
         return [t for t in live if t.target.target_id in usable]
@@ -45,7 +45,7 @@
         """
         now = self.state.clock.monotonic()
         usable = self.usable(pool, now)
-        order = rank(terms.adapter, [t.target.target_id for t in usable])
+        order = rank_members(terms.adapter, [t.target.target_id for t in usable])
         home = {target: place for place, target in enumerate(order)}
         here = {t.target.data_centre for t in usable}
         keepers = self.state.keepers(here)
--- a/packages/daemon/tests/test_caller_requests.py
+++ b/packages/daemon/tests/test_caller_requests.py
@@ -9,13 +9,13 @@
 from sardinequay_core.approval import root_digest
 from sardinequay_core.bundle import (
     Adapter,
-    Base,
+    BundleBase,
     Bundle,
     Caller,
     Contents,
-    Pool,
-    assemble,
-    build,
+    PoolSettings,
+    assemble_bundle,
+    build_bundle,
 )
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import CallerName, PoolName, RequestId
@@ -35,13 +35,13 @@
 @pytest.fixture
 def bundle() -> Bundle:
     caller = Caller(KIOSKS, sha256(b"secret").hexdigest(), max_priority=7)
-    pool = Pool(PoolName("lm"), "base", 1, 4)
+    pool = PoolSettings(PoolName("lm"), "base", 1, 4)
     adapters = (
         Adapter("mine", "base", pool.name, ("1", "2"), (KIOSKS,)),
         Adapter("theirs", "base", pool.name, ("1",), (OTHERS,)),
     )
-    built = build(Contents(Base((caller,), (pool,)), adapters), 1)
-    return assemble(built.root, root_digest(built.root), built.blobs).unwrap()
+    built = build_bundle(Contents(BundleBase((caller,), (pool,)), adapters), 1)
+    return assemble_bundle(built.root, root_digest(built.root), built.blobs).unwrap()
 
 
 def envelope(bundle: Bundle | None, **headers: str) -> Any:
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -34,7 +34,7 @@
 )
 from sardinequay_core.quarantine import TargetEnd
 from sardinequay_core.quota_book import Admitted
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 from sardinequay_core.repeat_budget import RepeatPolicy
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_core.target_health import Verdict
@@ -475,7 +475,7 @@
 def test_permits_are_given_by_one_of_few_hosts(world: World) -> None:
     """Hosts that know the same hubs ask the same one, whichever content it is."""
     for content in ("a", "b", "c"):
-        givers = {rank(content, h.fleet.known_to_all())[0] for h in world.hosts}
+        givers = {rank_members(content, h.fleet.known_to_all())[0] for h in world.hosts}
         assert len(givers) == 1
         assert givers <= {world.holder(d).me.host_id for d in DATA_CENTRES}
 
--- a/packages/daemon/tests/test_rollout_task.py
+++ b/packages/daemon/tests/test_rollout_task.py
@@ -7,10 +7,10 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from returns.result import Failure, Result, Success
 
-from sardinequay_core.approval import SignedRoot, Trust, approve, encode_signed
-from sardinequay_core.bundle import Contents, build
+from sardinequay_core.approval import SignedRoot, ApprovalPolicy, add_approval, encode_signed_root
+from sardinequay_core.bundle import Contents, build_bundle
 from sardinequay_core.names import Digest
-from sardinequay_core.rollout import Heard
+from sardinequay_core.rollout import Confirmation
 from sardinequay_daemon.errors import PlatformError
 from sardinequay_daemon.journal import Journal
 from sardinequay_daemon.metrics import Metrics
@@ -20,12 +20,12 @@
 from sardinequay_daemon.shared_settings import TimingSettings
 
 KEY = Ed25519PrivateKey.from_private_bytes(b"k" * 32)
-TRUST = Trust({"ana": KEY.public_key().public_bytes_raw().hex()}, 1)
+TRUST = ApprovalPolicy({"ana": KEY.public_key().public_bytes_raw().hex()}, 1)
 
 
 def published(version: int) -> tuple[bytes, Mapping[Digest, bytes]]:
-    built = build(Contents(), version)
-    return encode_signed(approve(SignedRoot(built.root), "ana", KEY)), built.blobs
+    built = build_bundle(Contents(), version)
+    return encode_signed_root(add_approval(SignedRoot(built.root), "ana", KEY)), built.blobs
 
 
 class FakeService:
@@ -68,7 +68,7 @@
     made = RolloutTask(
         TRUST, service, peers, timing, metrics, Journal(clock), clock, lambda: True
     )
-    made.rollout.heard = Heard.PEERS
+    made.rollout.confirmed_by = Confirmation.PEERS
     return made
 
 
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -11,12 +11,12 @@
 from opentelemetry.trace import INVALID_SPAN
 
 from sardinequay_core.catalogue import (
-    Absence,
+    RemovalPolicy,
     Catalogue,
     ConfigPublished,
     PublishedTarget,
     TargetPublished,
-    fold,
+    apply_change,
 )
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import (
@@ -79,9 +79,9 @@
 def catalogue_of(*engines: TargetPublished) -> Catalogue:
     pool = EnginePool(8, 10_000, 100, 2, 2, (ServedModel("m", 10, 9, 1),))
     config = make_config(1, (ROUTE,), (Pool(POOL, 9, pool),), CallerLimits())
-    made = fold(ConfigPublished(config), Catalogue(), Absence())
+    made = apply_change(ConfigPublished(config), Catalogue(), RemovalPolicy())
     for published in engines:
-        made = fold(published, made, Absence())
+        made = apply_change(published, made, RemovalPolicy())
     return made
 
 
--- a/packages/lab/src/sardinequay_lab/bundle_world.py
+++ b/packages/lab/src/sardinequay_lab/bundle_world.py
@@ -21,17 +21,17 @@
 from sardinequay_core import rollout
 from sardinequay_core.approval import (
     SignedRoot,
-    Trust,
-    Verdict,
-    approve,
-    compare,
-    encode_signed,
-    parse_signed,
+    ApprovalPolicy,
+    RootComparison,
+    add_approval,
+    compare_roots,
+    encode_signed_root,
+    parse_signed_root,
     root_digest,
 )
 from sardinequay_core.bundle import FANOUT, Root
 from sardinequay_core.names import Digest
-from sardinequay_core.rollout import Heard, Offered, Rollout
+from sardinequay_core.rollout import Confirmation, OfferedBundle, Rollout
 
 from .exploration import Action, Mutations, Violation, perform
 
@@ -67,10 +67,10 @@
 
 
 @cache
-def trust() -> Trust:
+def trust() -> ApprovalPolicy:
     """Return whose approvals count."""
     public = {n: k.public_key().public_bytes_raw().hex() for n, k in keys().items()}
-    return Trust(public, THRESHOLD)
+    return ApprovalPolicy(public, THRESHOLD)
 
 
 @cache
@@ -79,8 +79,8 @@
     digest = Digest("0" * 64)
     made = SignedRoot(Root(version, digest, (digest,) * FANOUT, note))
     for name in APPROVERS[:approvals]:
-        made = approve(made, name, keys()[name])
-    return encode_signed(made)
+        made = add_approval(made, name, keys()[name])
+    return encode_signed_root(made)
 
 
 @dataclass(slots=True)
@@ -90,7 +90,7 @@
     source: str
     destination: str
     data: bytes = b""
-    offered: Offered | None = None
+    offered: OfferedBundle | None = None
 
 
 @dataclass(slots=True)
@@ -128,7 +128,7 @@
                 actions.append(("double", index))
         for name, node in self.nodes.items():
             actions += [("read", name), ("restart", name)]
-            if node.rollout.heard is Heard.NOBODY_YET:
+            if node.rollout.confirmed_by is Confirmation.PENDING:
                 actions.append(("time out", name))
             for other in HOSTS:
                 if other != name and len(self.packets) < MAX_PACKETS:
@@ -174,7 +174,7 @@
     def do_read(self, name: str) -> None:
         """Have a host read the service, if it may yet and the service is up."""
         node = self.nodes[name]
-        if self.shown >= 0 and node.rollout.heard is not Heard.NOBODY_YET:
+        if self.shown >= 0 and node.rollout.confirmed_by is not Confirmation.PENDING:
             self.consider(node, self.published[self.shown])
 
     # Hosts.
@@ -185,18 +185,18 @@
 
     def do_time_out(self, name: str) -> None:
         """Have a new host give up on hearing peers."""
-        self.nodes[name].rollout.heard = Heard.TIMEOUT
+        self.nodes[name].rollout.confirmed_by = Confirmation.TIMED_OUT
 
     def do_gossip(self, name: str, other: str) -> None:
         """Have a host tell another what it has in force."""
         state = self.nodes[name].rollout
         digest = str(root_digest(state.in_force.root)) if state.in_force else ""
-        offered = Offered(state.version(), digest)
+        offered = OfferedBundle(state.version(), digest)
         self.packets.append(Packet(name, other, offered=offered))
 
     def do_hear(self, name: str, other: str) -> None:
         """Have a host fetch another's root."""
-        if self.nodes[other].rollout.heard is not Heard.NOBODY_YET:
+        if self.nodes[other].rollout.confirmed_by is not Confirmation.PENDING:
             data = self.nodes[other].data
             self.packets.append(Packet(other, name, data))
 
@@ -213,23 +213,23 @@
         packet = self.packets.pop(index)
         node = self.nodes[packet.destination]
         if packet.offered is not None:
-            if node.rollout.is_worth_asking(packet.offered):
+            if node.rollout.should_fetch(packet.offered):
                 self.do_hear(packet.destination, packet.source)
             return
         if packet.data:
             self.consider(node, packet.data)
-            parsed = parse_signed(packet.data).unwrap()
+            parsed = parse_signed_root(packet.data).unwrap()
             node.heard_version = max(node.heard_version, parsed.root.version)
-        if node.rollout.heard is Heard.NOBODY_YET:
-            node.rollout.heard = Heard.PEERS
+        if node.rollout.confirmed_by is Confirmation.PENDING:
+            node.rollout.confirmed_by = Confirmation.PEERS
 
     def consider(self, node: Node, data: bytes) -> None:
         """Have a host judge a root and take it if it may."""
-        judged = node.rollout.judge(data)
+        judged = node.rollout.check_root(data)
         if not isinstance(judged, Success):
             self.notes[judged.failure().reason] += 1
-            parsed = parse_signed(data).unwrap()
-            node.rollout.refuse(judged.failure(), root_digest(parsed.root))
+            parsed = parse_signed_root(data).unwrap()
+            node.rollout.record_refusal(judged.failure(), root_digest(parsed.root))
             return
         made: SignedRoot | None = judged.unwrap()
         if made is not None:
@@ -252,7 +252,7 @@
             raise Violation(f"{name} changed {before} to {now}")
         if now[0] not in self.good:
             raise Violation(f"{name} took {now}, which is under-signed")
-        if state.may_serve() and now[0] < node.heard_version:
+        if state.can_serve() and now[0] < node.heard_version:
             raise Violation(f"{name} serves {now}, heard {node.heard_version}")
         node.history.append(now)
 
@@ -272,8 +272,8 @@
 
     def consider_after_join(self, node: Node, data: bytes) -> None:
         """Have a host read the service once it may."""
-        if node.rollout.heard is Heard.NOBODY_YET:
-            node.rollout.heard = Heard.TIMEOUT
+        if node.rollout.confirmed_by is Confirmation.PENDING:
+            node.rollout.confirmed_by = Confirmation.TIMED_OUT
         self.consider(node, data)
 
     def exchange(self, name: str, other: str) -> None:
@@ -282,8 +282,8 @@
         if name == other or source.rollout.in_force is None:
             return
         digest = str(root_digest(source.rollout.in_force.root))
-        offered = Offered(source.rollout.version(), digest)
-        if node.rollout.is_worth_asking(offered):
+        offered = OfferedBundle(source.rollout.version(), digest)
+        if node.rollout.should_fetch(offered):
             self.consider_after_join(node, source.data)
 
 
@@ -294,7 +294,7 @@
 def without_comparison() -> Iterator[None]:
     """Take whatever was read last."""
     with (
-        patch.object(rollout, "compare", lambda *_: Verdict.NEWER),
+        patch.object(rollout, "compare_roots", lambda *_: RootComparison.NEWER),
         patch.object(
             Rollout, "put_in_force", lambda s, made: setattr(s, "in_force", made)
         ),
@@ -306,12 +306,12 @@
 def without_conflict_check() -> Iterator[None]:
     """Let another bundle of the same version replace the one in force."""
 
-    def lax(offered: Root, in_force: Root | None) -> Verdict:
-        verdict = compare(offered, in_force)
-        return Verdict.NEWER if verdict is Verdict.CONFLICT else verdict
+    def lax(offered: Root, in_force: Root | None) -> RootComparison:
+        verdict = compare_roots(offered, in_force)
+        return RootComparison.NEWER if verdict is RootComparison.CONFLICT else verdict
 
     with (
-        patch.object(rollout, "compare", lax),
+        patch.object(rollout, "compare_roots", lax),
         patch.object(
             Rollout, "put_in_force", lambda s, made: setattr(s, "in_force", made)
         ),
@@ -324,16 +324,16 @@
     """Take roots however few approved them."""
 
     def lax(data: bytes, _: Any) -> Any:
-        return parse_signed(data)
+        return parse_signed_root(data)
 
-    with patch.object(rollout, "verify", lax):
+    with patch.object(rollout, "verify_signed_root", lax):
         yield
 
 
 @contextmanager
 def without_offers() -> Iterator[None]:
     """Never ask peers for what they offer."""
-    with patch.object(Rollout, "is_worth_asking", lambda *_: False):
+    with patch.object(Rollout, "should_fetch", lambda *_: False):
         yield
 
 
--- a/packages/lab/src/sardinequay_lab/placement_policies.py
+++ b/packages/lab/src/sardinequay_lab/placement_policies.py
@@ -22,7 +22,7 @@
     PoolName,
     TargetId,
 )
-from sardinequay_core.rendezvous import rank, rank_weighted
+from sardinequay_core.rendezvous import rank_members, rank_members_weighted
 from sardinequay_core.roster import Target, TargetKind
 
 from .placement_sim import EngineSim, Job, Simulation
@@ -73,7 +73,7 @@
         if self.choose == "least loaded":
             return min(in_reach, key=lambda e: (e.load() + self.queued(e), e.name))
         by_name = {e.name: e for e in in_reach}
-        return by_name[rank(str(job.adapter), by_name)[0]]
+        return by_name[rank_members(str(job.adapter), by_name)[0]]
 
     def queued(self, engine: EngineSim) -> int:
         """Return the requests that wait for loads on an engine."""
@@ -189,7 +189,7 @@
             for name, count in self.sim.scenario.engines.items()
             if self.sim.reachable(job.data_centre, name)
         }
-        return self.sides[rank_weighted(str(job.adapter), weights)[0]]
+        return self.sides[rank_members_weighted(str(job.adapter), weights)[0]]
 
     def arrive(self, job: Job) -> None:
         """Send a request where its adapter is, or queue it for a load."""
--- a/packages/lab/src/sardinequay_lab/slopes.py
+++ b/packages/lab/src/sardinequay_lab/slopes.py
@@ -22,9 +22,9 @@
 import aiohttp
 import msgspec
 
-from sardinequay_core.approval import SignedRoot, encode_signed, root_digest
-from sardinequay_core.bundle import Contents, assemble, build
-from sardinequay_core.bundle_lint import lint
+from sardinequay_core.approval import SignedRoot, encode_signed_root, root_digest
+from sardinequay_core.bundle import Contents, assemble_bundle, build_bundle
+from sardinequay_core.bundle_lint import lint_contents
 from sardinequay_core.claims import ClaimPolicy, ClaimRequest, Guard
 from sardinequay_core.clock import seconds
 from sardinequay_core.keeper import Keeper
@@ -213,21 +213,21 @@
     """Measure one size of bundle."""
     raw = json.dumps(contents(Plan(adapters=size)))
     offered = msgspec.json.decode(raw, type=Contents)
-    old = build(offered, 1)
+    old = build_bundle(offered, 1)
     digest = root_digest(old.root)
-    bundle = assemble(old.root, digest, old.blobs).unwrap()
+    bundle = assemble_bundle(old.root, digest, old.blobs).unwrap()
     first, *rest = offered.adapters
     changed = (replace(first, versions=("1", "2")), *rest)
-    new = build(Contents(offered.base, changed), 2)
+    new = build_bundle(Contents(offered.base, changed), 2)
     fresh = [new.blobs[d] for d in new.blobs.keys() - old.blobs.keys()]
-    moved = sum(map(len, fresh)) + len(encode_signed(SignedRoot(new.root)))
+    moved = sum(map(len, fresh)) + len(encode_signed_root(SignedRoot(new.root)))
     new_digest = root_digest(new.root)
     return {
-        "lint, ms": timed(lint, offered) / 1e3,
-        "build, ms": timed(build, offered, 1) / 1e3,
-        "first apply, ms": timed(assemble, old.root, digest, old.blobs) / 1e3,
+        "lint, ms": timed(lint_contents, offered) / 1e3,
+        "build, ms": timed(build_bundle, offered, 1) / 1e3,
+        "first apply, ms": timed(assemble_bundle, old.root, digest, old.blobs) / 1e3,
         "apply of one change, ms": timed(
-            assemble, new.root, new_digest, new.blobs, bundle
+            assemble_bundle, new.root, new_digest, new.blobs, bundle
         )
         / 1e3,
         "bytes that one change moves to a host": moved,
