--- a/packages/core/src/sardinequay_core/claimant.py
+++ b/packages/core/src/sardinequay_core/claimant.py
@@ -3,14 +3,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .claims import ClaimPolicy, ClaimRequest, ClaimVote, Settle, Vote
+from .claims import ClaimPolicy, ClaimRequest, ClaimVote, Settle, ClaimDecision
 from .clock import Instant
 from .names import AttemptId, HostId
 from .outcome import Outcome
 from .views import View
 
 
-class Standing(Enum):
+class ClaimStatus(Enum):
     """What the votes so far come to."""
 
     OPEN = "open"
@@ -33,50 +33,50 @@
     started_at: Instant
     policy: ClaimPolicy
     votes: dict[HostId, ClaimVote] = field(default_factory=dict)
-    silent: set[HostId] = field(default_factory=set)
+    unreachable: set[HostId] = field(default_factory=set)
 
-    def request(self) -> ClaimRequest:
+    def build_request(self) -> ClaimRequest:
         """Return what to send to every guard."""
         return ClaimRequest(self.view, self.key, self.attempt)
 
-    def take(self, host_id: HostId, vote: ClaimVote) -> None:
+    def record_vote(self, host_id: HostId, vote: ClaimVote) -> None:
         """Take a guard's vote."""
         self.votes[host_id] = vote
 
-    def take_silence(self, host_id: HostId) -> None:
+    def record_unreachable(self, host_id: HostId) -> None:
         """Take that a guard cannot be reached."""
-        self.silent.add(host_id)
+        self.unreachable.add(host_id)
 
-    def count(self, vote: Vote) -> int:
+    def count_votes(self, vote: ClaimDecision) -> int:
         """Return how many guards voted so."""
         return sum(1 for v in self.votes.values() if v.vote is vote)
 
-    def standing(self, now: Instant) -> Standing:
+    def status(self, now: Instant) -> ClaimStatus:
         """Return what the votes come to at this time."""
-        if now - self.started_at > self.policy.window:
-            return Standing.UNAVAILABLE
-        granted = self.count(Vote.GRANTED)
+        if now - self.started_at > self.policy.vote_window:
+            return ClaimStatus.UNAVAILABLE
+        granted = self.count_votes(ClaimDecision.GRANTED)
         if granted >= self.view.majority:
-            return Standing.WON
-        answered = len(self.votes.keys() | self.silent)
+            return ClaimStatus.WON
+        answered = len(self.votes.keys() | self.unreachable)
         if granted + len(self.view.guards) - answered >= self.view.majority:
-            return Standing.OPEN
-        return Standing.HELD if self.count(Vote.HELD) else Standing.UNAVAILABLE
+            return ClaimStatus.OPEN
+        return ClaimStatus.HELD if self.count_votes(ClaimDecision.HELD) else ClaimStatus.UNAVAILABLE
 
-    def settled(self) -> Outcome | None:
+    def settled_outcome(self) -> Outcome | None:
         """Return what became of the attempt that holds the key, if a guard knows."""
         return next((v.settled for v in self.votes.values() if v.settled), None)
 
-    def later_view(self) -> View | None:
+    def latest_named_view(self) -> View | None:
         """Return the latest view that a guard named, if it is later than this one."""
         views = [v.later_view for v in self.votes.values() if v.later_view]
         newest = max(views, key=lambda view: view.number, default=None)
         return newest if newest and newest.number > self.view.number else None
 
-    def release(self) -> Settle:
+    def build_release(self) -> Settle:
         """Return the message that gives the key back: this attempt never ran."""
-        return self.settle(Outcome.NOT_RUN)
+        return self.build_settle(Outcome.NOT_RUN)
 
-    def settle(self, outcome: Outcome) -> Settle:
+    def build_settle(self, outcome: Outcome) -> Settle:
         """Return the message that tells the guards what became of this attempt."""
         return Settle(self.view.data_centre, self.key, self.attempt, outcome)
--- a/packages/core/src/sardinequay_core/claims.py
+++ b/packages/core/src/sardinequay_core/claims.py
@@ -19,7 +19,7 @@
 from .views import GuardAddress, View
 
 MAX_KEY_CHARS = 200
-PAGE_KEYS = 4000
+HANDOVER_PAGE_KEYS = 4000
 """Keys in one page of a handover: some 400 kB on the wire."""
 
 
@@ -42,13 +42,13 @@
         How far the platform's list may be behind.
     """
 
-    life: timedelta = timedelta(minutes=10)
-    window: timedelta = timedelta(seconds=2)
-    lapse: timedelta = timedelta(hours=2)
-    list_lag: timedelta = timedelta(minutes=1)
+    retention: timedelta = timedelta(minutes=10)
+    vote_window: timedelta = timedelta(seconds=2)
+    listing_timeout: timedelta = timedelta(hours=2)
+    max_list_lag: timedelta = timedelta(minutes=1)
 
 
-class Vote(Enum):
+class ClaimDecision(Enum):
     """A guard's answer to a claim."""
 
     GRANTED = "granted"
@@ -70,7 +70,7 @@
 class ClaimVote:
     """Message: a guard's vote, and a later view if it knows one."""
 
-    vote: Vote
+    vote: ClaimDecision
     later_view: View | None = None
     settled: Outcome | None = None
 
@@ -163,7 +163,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class JoinRequest:
     """What one incarnation of a host asked this guard to hand over for."""
 
     incarnation: int
@@ -188,100 +188,100 @@
 
     def __init__(
         self,
-        me: HostId,
+        own_host_id: HostId,
         incarnation: int,
         policy: ClaimPolicy,
         started_at: Instant,
-        founding: View | None = None,
+        founding_view: View | None = None,
     ) -> None:
-        self.me = me
+        self.own_host_id = own_host_id
         self.started_at = started_at
-        self.listed_at = started_at
-        self.listed: tuple[GuardAddress, ...] = ()
-        self.listed_from = started_at
+        self.listing_confirmed_at = started_at
+        self.listed_guards: tuple[GuardAddress, ...] = ()
+        self.listed_guards_since = started_at
         self.incarnation = incarnation
         self.policy = policy
-        self.remembers = founding is not None and founding.has(me)
-        self.base: View | None = founding if self.remembers else None
-        self.active: View | None = self.base
-        self.promised = 0
-        self.heard: dict[int, View] = {}
-        self.asked: dict[HostId, list[Asked]] = {}
-        self.claims: dict[str, dict[AttemptId, Claim]] = {}
-
-    def newest_view(self) -> View | None:
+        self.has_full_memory = founding_view is not None and founding_view.has_guard(own_host_id)
+        self.base_view: View | None = founding_view if self.has_full_memory else None
+        self.active_view: View | None = self.base_view
+        self.lowest_allowed_view = 0
+        self.known_later_views: dict[int, View] = {}
+        self.join_requests: dict[HostId, list[JoinRequest]] = {}
+        self.claims_by_key: dict[str, dict[AttemptId, Claim]] = {}
+
+    def newest_known_view(self) -> View | None:
         """Return the latest view heard of."""
-        views = [*self.heard.values(), *([self.active] if self.active else [])]
+        views = [*self.known_later_views.values(), *([self.active_view] if self.active_view else [])]
         return max(views, key=lambda view: view.number, default=None)
 
-    def hear_view(self, view: View) -> None:
+    def record_view(self, view: View) -> None:
         """Remember a view, unless it is behind the active one."""
-        if self.active is None or view.number > self.active.number:
-            self.heard[view.number] = view
+        if self.active_view is None or view.number > self.active_view.number:
+            self.known_later_views[view.number] = view
 
-    def read_list(self, view: View, now: Instant) -> None:
+    def record_listed_view(self, view: View, now: Instant) -> None:
         """Take the view that the platform's list, read just now, defines."""
-        self.hear_view(view)
-        self.follow_same_guards(view)
-        if self.listed != view.guards:
-            self.listed, self.listed_from = view.guards, now
-        if self.active is not None and self.active.guards == view.guards:
-            self.listed_at = now
+        self.record_view(view)
+        self.enter_if_same_guards(view)
+        if self.listed_guards != view.guards:
+            self.listed_guards, self.listed_guards_since = view.guards, now
+        if self.active_view is not None and self.active_view.guards == view.guards:
+            self.listing_confirmed_at = now
 
     def listed_since(self, guards: tuple[GuardAddress, ...]) -> Instant | None:
         """Return since when the list, as read here, names just these guards."""
-        return self.listed_from if self.listed == guards else None
+        return self.listed_guards_since if self.listed_guards == guards else None
 
-    def claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
+    def handle_claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
         """Vote on a claim."""
-        self.hear_view(request.view)
-        self.follow_same_guards(request.view)
-        active = self.active
+        self.record_view(request.view)
+        self.enter_if_same_guards(request.view)
+        active = self.active_view
         number = request.view.number
-        if number < self.promised or (active is not None and number < active.number):
-            return ClaimVote(Vote.OLD_VIEW, self.newest_view())
+        if number < self.lowest_allowed_view or (active is not None and number < active.number):
+            return ClaimVote(ClaimDecision.OLD_VIEW, self.newest_known_view())
         is_current = active is not None and active.number == number
-        is_listed = now - self.listed_at <= self.policy.lapse
+        is_listed = now - self.listing_confirmed_at <= self.policy.listing_timeout
         if not is_current or not is_listed or self.is_sealed():
-            return ClaimVote(Vote.ABSTAINS)
-        return self.vote(request, now)
+            return ClaimVote(ClaimDecision.ABSTAINS)
+        return self.vote_on_claim(request, now)
 
     def is_sealed(self) -> bool:
         """Return whether the active view was handed over to a later one."""
-        return self.active is not None and self.promised > self.active.number
+        return self.active_view is not None and self.lowest_allowed_view > self.active_view.number
 
-    def follow_same_guards(self, view: View) -> None:
+    def enter_if_same_guards(self, view: View) -> None:
         """Enter a later view of the same guards at once: majorities still overlap.
 
         Not when sealed: then another view lies between, with claims of its own.
         """
-        active = self.active
+        active = self.active_view
         if active is None or self.is_sealed() or view.number <= active.number:
             return
         if view.guards == active.guards:
-            self.enter(view)
+            self.enter_view(view)
 
-    def enter(self, view: View) -> None:
+    def enter_view(self, view: View) -> None:
         """Vote in a view from now on; that it is listed is known from reading it."""
-        self.remembers = True
-        self.active = self.base = view
-        self.promised = max(self.promised, view.number)
-        self.heard = {n: v for n, v in self.heard.items() if n > view.number}
+        self.has_full_memory = True
+        self.active_view = self.base_view = view
+        self.lowest_allowed_view = max(self.lowest_allowed_view, view.number)
+        self.known_later_views = {n: v for n, v in self.known_later_views.items() if n > view.number}
 
-    def vote(self, request: ClaimRequest, now: Instant) -> ClaimVote:
+    def vote_on_claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
         """Grant a key that no other attempt holds."""
-        attempts = self.claims.setdefault(request.key, {})
-        self.forget_old(attempts, now)
+        attempts = self.claims_by_key.setdefault(request.key, {})
+        self.prune_attempts(attempts, now)
         others = [c for a, c in attempts.items() if a != request.attempt]
         if others:
             settled = next((c.settled for c in others if c.settled), None)
-            return ClaimVote(Vote.HELD, settled=settled)
+            return ClaimVote(ClaimDecision.HELD, settled=settled)
         attempts.setdefault(request.attempt, Claim(now))
-        return ClaimVote(Vote.GRANTED)
+        return ClaimVote(ClaimDecision.GRANTED)
 
-    def settle(self, message: Settle) -> None:
+    def handle_settle(self, message: Settle) -> None:
         """Take what became of a claimed request."""
-        attempts = self.claims.get(message.key, {})
+        attempts = self.claims_by_key.get(message.key, {})
         claim = attempts.get(message.attempt)
         if claim is None:
             return
@@ -290,69 +290,69 @@
             return
         del attempts[message.attempt]
         if not attempts:
-            del self.claims[message.key]
+            del self.claims_by_key[message.key]
 
-    def forget_old(self, attempts: dict[AttemptId, Claim], now: Instant) -> None:
+    def prune_attempts(self, attempts: dict[AttemptId, Claim], now: Instant) -> None:
         """Forget claims of one key whose life is over."""
-        life = self.policy.life
+        life = self.policy.retention
         for attempt in [a for a, c in attempts.items() if now - c.granted_at > life]:
             del attempts[attempt]
 
-    def expire(self, now: Instant) -> None:
+    def expire_claims(self, now: Instant) -> None:
         """Forget all claims whose life is over."""
-        for key, attempts in list(self.claims.items()):
-            self.forget_old(attempts, now)
+        for key, attempts in list(self.claims_by_key.items()):
+            self.prune_attempts(attempts, now)
             if not attempts:
-                del self.claims[key]
+                del self.claims_by_key[key]
 
-    def hand_over(self, request: HandoverRequest, now: Instant) -> Handover:
+    def handle_handover_request(self, request: HandoverRequest, now: Instant) -> Handover:
         """Seal a view in favour of a later one and tell what is remembered."""
-        if not self.remembers:
+        if not self.has_full_memory:
             return Handover(remembers=False, incarnation=self.incarnation)
-        self.promised = max(self.promised, request.successor.number)
-        self.hear_view(request.successor)
-        before = self.note_asker(request)
-        page, more = self.page(request.after_key, now)
-        later = [v for n, v in sorted(self.heard.items()) if n > request.view.number]
+        self.lowest_allowed_view = max(self.lowest_allowed_view, request.successor.number)
+        self.record_view(request.successor)
+        earlier_joins = self.record_join_request(request)
+        page, more = self.claims_page(request.after_key, now)
+        later = [v for n, v in sorted(self.known_later_views.items()) if n > request.view.number]
         return Handover(
             remembers=True,
             incarnation=self.incarnation,
-            base=self.base,
+            base=self.base_view,
             later_views=tuple(later),
-            asked_before=before,
+            asked_before=earlier_joins,
             records=page,
             more=more,
         )
 
-    def note_asker(self, request: HandoverRequest) -> tuple[View, ...]:
+    def record_join_request(self, request: HandoverRequest) -> tuple[View, ...]:
         """Remember who joins which view; return what its earlier selves joined."""
-        asked = self.asked.setdefault(request.asker, [])
-        mine = [a for a in asked if a.incarnation == request.incarnation]
-        if all(a.view != request.successor for a in mine):
-            asked.append(Asked(request.incarnation, request.successor))
+        asked = self.join_requests.setdefault(request.asker, [])
+        same_incarnation = [a for a in asked if a.incarnation == request.incarnation]
+        if all(a.view != request.successor for a in same_incarnation):
+            asked.append(JoinRequest(request.incarnation, request.successor))
         return tuple(a.view for a in asked if a.incarnation != request.incarnation)
 
-    def page(
+    def claims_page(
         self, after_key: str, now: Instant
     ) -> tuple[tuple[ClaimRecord, ...], bool]:
         """Return the next claims by the order of keys, and whether more follow."""
-        self.expire(now)
-        keys = sorted(key for key in self.claims if key > after_key)
+        self.expire_claims(now)
+        keys = sorted(key for key in self.claims_by_key if key > after_key)
         records = tuple(
             ClaimRecord(key, attempt, max(ZERO, now - c.granted_at), c.settled)
-            for key in keys[:PAGE_KEYS]
-            for attempt, c in sorted(self.claims[key].items())
+            for key in keys[:HANDOVER_PAGE_KEYS]
+            for attempt, c in sorted(self.claims_by_key[key].items())
         )
-        return records, len(keys) > PAGE_KEYS
+        return records, len(keys) > HANDOVER_PAGE_KEYS
 
-    def merge(self, records: tuple[ClaimRecord, ...], now: Instant) -> None:
+    def merge_records(self, records: tuple[ClaimRecord, ...], now: Instant) -> None:
         """Take claims that another guard remembers.
 
         Two attempts may each have had votes for a key. Both are kept, so that when the
         one that lost releases the key, the one that won still holds it.
         """
         for record in records:
-            attempts = self.claims.setdefault(record.key, {})
+            attempts = self.claims_by_key.setdefault(record.key, {})
             claim = attempts.setdefault(record.attempt, Claim(now - record.age))
             claim.granted_at = max(claim.granted_at, now - record.age)
             claim.settled = claim.settled or record.settled
--- a/packages/core/src/sardinequay_core/guard_duty.py
+++ b/packages/core/src/sardinequay_core/guard_duty.py
@@ -11,7 +11,7 @@
     Settle,
 )
 from .clock import Instant
-from .joining import Joining
+from .joining import ViewJoin
 from .views import GuardAddress, View
 
 
@@ -26,69 +26,69 @@
     """
 
     guard: Guard
-    founding: View
-    joining: Joining | None = field(default=None)
+    founding_view: View
+    joining: ViewJoin | None = field(default=None)
 
-    def read_list(self, view: View, now: Instant) -> None:
+    def record_listed_view(self, view: View, now: Instant) -> None:
         """Take the view that the platform's list, read just now, defines."""
-        self.guard.read_list(view, now)
-        self.head_for_newest(now)
+        self.guard.record_listed_view(view, now)
+        self.join_newest_view(now)
 
-    def hear_view(self, view: View, now: Instant) -> None:
+    def record_view(self, view: View, now: Instant) -> None:
         """Take a view that a peer told of."""
-        self.guard.hear_view(view)
-        self.guard.follow_same_guards(view)
-        self.head_for_newest(now)
+        self.guard.record_view(view)
+        self.guard.enter_if_same_guards(view)
+        self.join_newest_view(now)
 
-    def claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
+    def handle_claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
         """Vote, and head for a view that the claim makes known."""
-        vote = self.guard.claim(request, now)
-        self.head_for_newest(now)
+        vote = self.guard.handle_claim(request, now)
+        self.join_newest_view(now)
         return vote
 
-    def settle(self, message: Settle) -> None:
+    def handle_settle(self, message: Settle) -> None:
         """Take what became of a claimed request."""
-        self.guard.settle(message)
+        self.guard.handle_settle(message)
 
-    def hand_over(self, request: HandoverRequest, now: Instant) -> Handover:
+    def handle_handover_request(self, request: HandoverRequest, now: Instant) -> Handover:
         """Seal a view and tell what is remembered."""
-        handover = self.guard.hand_over(request, now)
-        self.head_for_newest(now)
+        handover = self.guard.handle_handover_request(request, now)
+        self.join_newest_view(now)
         return handover
 
-    def head_for_newest(self, now: Instant) -> None:
+    def join_newest_view(self, now: Instant) -> None:
         """Start to join the newest view, if this host guards in it."""
         guard = self.guard
-        newest = guard.newest_view()
-        if newest is None or newest == guard.active or not newest.has(guard.me):
+        newest = guard.newest_known_view()
+        if newest is None or newest == guard.active_view or not newest.has_guard(guard.own_host_id):
             return
         if self.joining is not None and self.joining.target.number >= newest.number:
             return
-        blank_until = guard.started_at + guard.policy.window
-        not_before = now if guard.remembers else blank_until
-        self.joining = Joining(guard, newest, self.founding, not_before)
+        window_end = guard.started_at + guard.policy.vote_window
+        not_before = now if guard.has_full_memory else window_end
+        self.joining = ViewJoin(guard, newest, self.founding_view, not_before)
 
-    def requests(self, now: Instant) -> list[tuple[GuardAddress, HandoverRequest]]:
+    def pending_requests(self, now: Instant) -> list[tuple[GuardAddress, HandoverRequest]]:
         """Return what to ask now, and whom."""
-        return self.joining.requests(now) if self.joining else []
+        return self.joining.pending_requests(now) if self.joining else []
 
-    def take_start(self, view: View) -> None:
+    def record_start_view(self, view: View) -> None:
         """Take a view in which a peer votes, as a place to start from."""
-        self.guard.hear_view(view)
+        self.guard.record_view(view)
         if self.joining is not None:
-            self.joining.add(view)
+            self.joining.add_view(view)
 
-    def step(self, now: Instant) -> View | None:
+    def enter_if_complete(self, now: Instant) -> View | None:
         """Enter the view that is complete, if one is; return it then."""
         joining = self.joining
         if joining is None:
             return None
-        if joining.overtaken_by() is not None:
+        if joining.newer_view() is not None:
             self.joining = None
-            self.head_for_newest(now)
+            self.join_newest_view(now)
             return None
-        if not joining.is_done(now):
+        if not joining.can_enter(now):
             return None
-        joining.finish()
+        joining.complete()
         self.joining = None
         return joining.target
--- a/packages/core/src/sardinequay_core/rollout.py
+++ b/packages/core/src/sardinequay_core/rollout.py
@@ -46,7 +46,7 @@
 
     trust: ApprovalPolicy
     in_force: SignedRoot | None = None
-    confirmed_by: Confirmation = Confirmation.PENDING
+    confirmation: Confirmation = Confirmation.PENDING
     refused: set[tuple[str, Digest]] = field(default_factory=set)
 
     def version(self) -> int:
@@ -99,4 +99,4 @@
 
     def can_serve(self) -> bool:
         """Return whether requests may be decided by the bundle in force."""
-        return self.in_force is not None and self.confirmed_by is not Confirmation.PENDING
+        return self.in_force is not None and self.confirmation is not Confirmation.PENDING
--- a/packages/core/src/sardinequay_core/views.py
+++ b/packages/core/src/sardinequay_core/views.py
@@ -7,7 +7,7 @@
 from .rendezvous import rank_members, rendezvous_score
 from .roster import EntryHost, Presence, Roster
 
-GUARDS = 5
+GUARDS_PER_DATA_CENTRE = 5
 """Guards of a data centre: two may be lost at once."""
 MIN_GUARDS = 3
 """Below this a data centre borrows guards from the next, so that one may be lost."""
@@ -38,28 +38,28 @@
         """Return how many guards any two of which sets overlap."""
         return len(self.guards) // 2 + 1
 
-    def has(self, host_id: HostId) -> bool:
+    def has_guard(self, host_id: HostId) -> bool:
         """Return whether a host is among the guards."""
         return any(guard.host_id == host_id for guard in self.guards)
 
 
-def view_of(roster: Roster, data_centre: DataCentre) -> View:
+def build_view(roster: Roster, data_centre: DataCentre) -> View:
     """Return the view that a state of the roster defines for a data centre.
 
     The guards are the hosts that rank first for the data centre's name, so that the
     replacement of one host changes one guard at most.
     """
     hosts = {h.host_id: h for h in roster.entry_hosts if h.presence is Presence.LIVE}
-    chosen = first_ranked(hosts, data_centre, GUARDS)
-    for neighbour in neighbours(hosts, data_centre):
+    chosen = first_ranked_hosts(hosts, data_centre, GUARDS_PER_DATA_CENTRE)
+    for neighbour in other_data_centres(hosts, data_centre):
         if len(chosen) >= MIN_GUARDS:
             break
-        chosen += first_ranked(hosts, neighbour, MIN_GUARDS - len(chosen))
+        chosen += first_ranked_hosts(hosts, neighbour, MIN_GUARDS - len(chosen))
     guards = tuple(sorted(GuardAddress(h.host_id, h.peer_address) for h in chosen))
     return View(data_centre, roster.number, guards)
 
 
-def first_ranked(
+def first_ranked_hosts(
     hosts: dict[HostId, EntryHost], data_centre: DataCentre, count: int
 ) -> list[EntryHost]:
     """Return the first hosts of a data centre by its own ranking."""
@@ -67,7 +67,7 @@
     return [hosts[HostId(h)] for h in rank_members(f"guards/{data_centre}", local)[:count]]
 
 
-def neighbours(
+def other_data_centres(
     hosts: dict[HostId, EntryHost], data_centre: DataCentre
 ) -> list[DataCentre]:
     """Return the other data centres, in the order of the ring of names."""
@@ -75,7 +75,7 @@
     return [n for n in names if n > data_centre] + [n for n in names if n < data_centre]
 
 
-def home_of(key: str, data_centres: Sequence[DataCentre]) -> DataCentre:
+def home_data_centre(key: str, data_centres: Sequence[DataCentre]) -> DataCentre:
     """Return a key's home: the one it names as ``home~rest``, else one by hash."""
     named, separator, _ = key.partition(HOME_SEPARATOR)
     if separator and named in data_centres:
--- a/packages/core/tests/test_claims.py
+++ b/packages/core/tests/test_claims.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sardinequay_core.claimant import ClaimRound, Standing
+from sardinequay_core.claimant import ClaimRound, ClaimStatus
 from sardinequay_core.claims import (
     ClaimPolicy,
     ClaimRequest,
@@ -12,11 +12,11 @@
     Guard,
     HandoverRequest,
     Settle,
-    Vote,
+    ClaimDecision,
 )
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.guard_duty import GuardDuty
-from sardinequay_core.joining import Joining
+from sardinequay_core.joining import ViewJoin
 from sardinequay_core.names import Address, AttemptId, DataCentre, HostId
 from sardinequay_core.outcome import Outcome
 from sardinequay_core.views import GuardAddress, View
@@ -24,7 +24,7 @@
 HOME = DataCentre("home")
 NOW = seconds(1000)
 POLICY = ClaimPolicy(
-    life=seconds(100), window=seconds(2), lapse=seconds(600), list_lag=seconds(10)
+    retention=seconds(100), vote_window=seconds(2), listing_timeout=seconds(600), max_list_lag=seconds(10)
 )
 
 
@@ -47,81 +47,81 @@
 
 
 def hand_over_to(joiner: GuardDuty, others: dict[str, GuardDuty], now: Instant) -> None:
-    for guard, request in joiner.requests(now):
+    for guard, request in joiner.pending_requests(now):
         if guard.host_id in others:
-            answer = others[guard.host_id].hand_over(request, now)
-            joiner.joining.take(request.view, guard.host_id, answer, now)
+            answer = others[guard.host_id].handle_handover_request(request, now)
+            joiner.joining.record_handover(request.view, guard.host_id, answer, now)
 
 
 def test_one_attempt_holds_a_key() -> None:
     guard = duty("a")
-    assert guard.claim(claim("one"), NOW).vote is Vote.GRANTED
-    assert guard.claim(claim("one"), NOW).vote is Vote.GRANTED
-    assert guard.claim(claim("two"), NOW).vote is Vote.HELD
+    assert guard.handle_claim(claim("one"), NOW).vote is ClaimDecision.GRANTED
+    assert guard.handle_claim(claim("one"), NOW).vote is ClaimDecision.GRANTED
+    assert guard.handle_claim(claim("two"), NOW).vote is ClaimDecision.HELD
 
 
 def test_released_key_is_free_and_settled_key_is_not() -> None:
     guard = duty("a")
-    guard.claim(claim("one"), NOW)
-    guard.settle(Settle(HOME, "k", AttemptId("one"), Outcome.NOT_RUN))
-    assert guard.claim(claim("two"), NOW).vote is Vote.GRANTED
-    guard.settle(Settle(HOME, "k", AttemptId("two"), Outcome.RAN))
-    assert guard.claim(claim("three"), NOW).settled is Outcome.RAN
+    guard.handle_claim(claim("one"), NOW)
+    guard.handle_settle(Settle(HOME, "k", AttemptId("one"), Outcome.NOT_RUN))
+    assert guard.handle_claim(claim("two"), NOW).vote is ClaimDecision.GRANTED
+    guard.handle_settle(Settle(HOME, "k", AttemptId("two"), Outcome.RAN))
+    assert guard.handle_claim(claim("three"), NOW).settled is Outcome.RAN
 
 
 def test_release_by_the_attempt_that_lost_frees_nothing() -> None:
     guard = duty("a")
-    guard.claim(claim("winner"), NOW)
-    guard.settle(Settle(HOME, "k", AttemptId("loser"), Outcome.NOT_RUN))
-    assert guard.claim(claim("third"), NOW).vote is Vote.HELD
+    guard.handle_claim(claim("winner"), NOW)
+    guard.handle_settle(Settle(HOME, "k", AttemptId("loser"), Outcome.NOT_RUN))
+    assert guard.handle_claim(claim("third"), NOW).vote is ClaimDecision.HELD
 
 
 def test_release_keeps_the_other_attempt_of_a_merged_key() -> None:
     # A guard that gathered votes of two attempts must not forget the winner with the
     # loser's release.
     one, two, joiner = duty("a"), duty("b"), duty("d", founder=False)
-    one.claim(claim("loser"), NOW)
-    two.claim(claim("winner"), NOW)
+    one.handle_claim(claim("loser"), NOW)
+    two.handle_claim(claim("winner"), NOW)
     later = view(1, "abd")
-    joiner.read_list(later, NOW)
-    now = NOW + POLICY.window
+    joiner.record_listed_view(later, NOW)
+    now = NOW + POLICY.vote_window
     hand_over_to(joiner, {"a": one, "b": two}, now)
-    assert joiner.step(now) == later
-    joiner.settle(Settle(HOME, "k", AttemptId("loser"), Outcome.NOT_RUN))
-    assert joiner.claim(claim("third", later), now).vote is Vote.HELD
+    assert joiner.enter_if_complete(now) == later
+    joiner.handle_settle(Settle(HOME, "k", AttemptId("loser"), Outcome.NOT_RUN))
+    assert joiner.handle_claim(claim("third", later), now).vote is ClaimDecision.HELD
 
 
 def test_claims_expire_after_their_life() -> None:
     guard = duty("a")
-    guard.claim(claim("one"), NOW)
-    now = NOW + POLICY.life + seconds(1)
-    assert guard.claim(claim("two"), now).vote is Vote.GRANTED
+    guard.handle_claim(claim("one"), NOW)
+    now = NOW + POLICY.retention + seconds(1)
+    assert guard.handle_claim(claim("two"), now).vote is ClaimDecision.GRANTED
 
 
 def test_sealed_guard_votes_no_more_in_the_old_view() -> None:
     guard = duty("a")
     later = view(1, "bcd")
-    guard.hand_over(HandoverRequest(FOUNDING, later, HostId("d"), 1), NOW)
-    answer = guard.claim(claim("one"), NOW)
-    assert answer.vote is Vote.OLD_VIEW
+    guard.handle_handover_request(HandoverRequest(FOUNDING, later, HostId("d"), 1), NOW)
+    answer = guard.handle_claim(claim("one"), NOW)
+    assert answer.vote is ClaimDecision.OLD_VIEW
     assert answer.later_view == later
 
 
 def test_view_with_the_same_guards_is_entered_at_once() -> None:
     guard = duty("a")
-    guard.read_list(view(3, "abc"), NOW)
-    assert guard.claim(claim("one", view(3, "abc")), NOW).vote is Vote.GRANTED
+    guard.record_listed_view(view(3, "abc"), NOW)
+    assert guard.handle_claim(claim("one", view(3, "abc")), NOW).vote is ClaimDecision.GRANTED
 
 
 def test_view_with_other_guards_waits_for_the_handover() -> None:
     a, b = duty("a"), duty("b")
-    a.claim(claim("one"), NOW)
+    a.handle_claim(claim("one"), NOW)
     later = view(1, "abd")
-    b.read_list(later, NOW)
-    assert b.claim(claim("two", later), NOW).vote is Vote.ABSTAINS
+    b.record_listed_view(later, NOW)
+    assert b.handle_claim(claim("two", later), NOW).vote is ClaimDecision.ABSTAINS
     hand_over_to(b, {"a": a}, NOW)
-    assert b.step(NOW) == later
-    assert b.claim(claim("two", later), NOW).vote is Vote.HELD
+    assert b.enter_if_complete(NOW) == later
+    assert b.handle_claim(claim("two", later), NOW).vote is ClaimDecision.HELD
 
 
 @pytest.fixture
@@ -130,13 +130,13 @@
     founders = {name: duty(name) for name in "abc"}
     guards = {**founders, "d": duty("d", False), "e": duty("e", False)}
     first = view(1, "cde")
-    now = NOW + POLICY.window
+    now = NOW + POLICY.vote_window
     for name in "cde":
-        guards[name].read_list(first, now)
+        guards[name].record_listed_view(first, now)
         hand_over_to(guards[name], founders, now)
-        assert guards[name].step(now) == first
+        assert guards[name].enter_if_complete(now) == first
     for name in "de":
-        assert guards[name].claim(claim("one", first), now).vote is Vote.GRANTED
+        assert guards[name].handle_claim(claim("one", first), now).vote is ClaimDecision.GRANTED
     return guards, now
 
 
@@ -147,12 +147,12 @@
     guards, now = skipped_view
     second = view(2, "cfg")
     joiner = duty("f", founder=False)
-    joiner.read_list(second, now)
+    joiner.record_listed_view(second, now)
     hand_over_to(joiner, {name: guards[name] for name in "abc"}, now)
-    assert joiner.step(now) is None
+    assert joiner.enter_if_complete(now) is None
     hand_over_to(joiner, guards, now)
-    assert joiner.step(now) == second
-    assert joiner.claim(claim("two", second), now).vote is Vote.HELD
+    assert joiner.enter_if_complete(now) == second
+    assert joiner.handle_claim(claim("two", second), now).vote is ClaimDecision.HELD
 
 
 def test_without_following_views_the_skipped_claim_would_be_lost(
@@ -160,43 +160,43 @@
 ) -> None:
     guards, now = skipped_view
     joiner = duty("f", founder=False)
-    joiner.read_list(view(2, "fgh"), now)
-    with patch.object(Joining, "follow", lambda *_: None):
+    joiner.record_listed_view(view(2, "fgh"), now)
+    with patch.object(ViewJoin, "add_named_views", lambda *_: None):
         hand_over_to(joiner, {name: guards[name] for name in "ab"}, now)
-        joiner.step(now)
-    assert joiner.claim(claim("two", view(2, "fgh")), now).vote is Vote.GRANTED
+        joiner.enter_if_complete(now)
+    assert joiner.handle_claim(claim("two", view(2, "fgh")), now).vote is ClaimDecision.GRANTED
 
 
 def test_restarted_guard_abstains_until_a_window_has_passed() -> None:
     b, c = duty("b"), duty("c")
-    b.claim(claim("one"), NOW)
+    b.handle_claim(claim("one"), NOW)
     a = duty("a", founder=False)
-    a.read_list(view(1, "abc"), NOW)
+    a.record_listed_view(view(1, "abc"), NOW)
     others = {"b": b, "c": c}
     hand_over_to(a, others, NOW)
-    assert a.step(NOW) is None
-    assert a.claim(claim("two", view(1, "abc")), NOW).vote is Vote.ABSTAINS
-    now = NOW + POLICY.window + seconds(0.1)
+    assert a.enter_if_complete(NOW) is None
+    assert a.handle_claim(claim("two", view(1, "abc")), NOW).vote is ClaimDecision.ABSTAINS
+    now = NOW + POLICY.vote_window + seconds(0.1)
     hand_over_to(a, others, now)
-    assert a.step(now) == view(1, "abc")
-    assert a.claim(claim("two", view(1, "abc")), now).vote is Vote.HELD
+    assert a.enter_if_complete(now) == view(1, "abc")
+    assert a.handle_claim(claim("two", view(1, "abc")), now).vote is ClaimDecision.HELD
 
 
 def test_votes_count_only_within_the_window() -> None:
     round_ = ClaimRound(FOUNDING, "k", AttemptId("one"), NOW, POLICY)
-    round_.take(HostId("a"), ClaimVote(Vote.GRANTED))
-    round_.take(HostId("b"), ClaimVote(Vote.GRANTED))
-    assert round_.standing(NOW + POLICY.window) is Standing.WON
-    assert round_.standing(NOW + POLICY.window + seconds(0.1)) is Standing.UNAVAILABLE
+    round_.record_vote(HostId("a"), ClaimVote(ClaimDecision.GRANTED))
+    round_.record_vote(HostId("b"), ClaimVote(ClaimDecision.GRANTED))
+    assert round_.status(NOW + POLICY.vote_window) is ClaimStatus.WON
+    assert round_.status(NOW + POLICY.vote_window + seconds(0.1)) is ClaimStatus.UNAVAILABLE
 
 
 def test_split_votes_win_for_nobody() -> None:
     round_ = ClaimRound(FOUNDING, "k", AttemptId("one"), NOW, POLICY)
-    round_.take(HostId("a"), ClaimVote(Vote.GRANTED))
-    round_.take(HostId("b"), ClaimVote(Vote.HELD))
-    assert round_.standing(NOW) is Standing.OPEN
-    round_.take_silence(HostId("c"))
-    assert round_.standing(NOW) is Standing.HELD
+    round_.record_vote(HostId("a"), ClaimVote(ClaimDecision.GRANTED))
+    round_.record_vote(HostId("b"), ClaimVote(ClaimDecision.HELD))
+    assert round_.status(NOW) is ClaimStatus.OPEN
+    round_.record_unreachable(HostId("c"))
+    assert round_.status(NOW) is ClaimStatus.HELD
 
 
 def test_votes_of_forgetful_guards_are_waited_out() -> None:
@@ -206,17 +206,17 @@
     everybody = {**blank, "c": duty("c")}
     later = view(1, "abc")
     for guard in blank.values():
-        guard.read_list(later, NOW)
+        guard.record_listed_view(later, NOW)
     joiner = blank["a"]
 
-    def ask(now: Instant) -> Vote:
+    def ask(now: Instant) -> ClaimDecision:
         hand_over_to(joiner, everybody, now)
-        joiner.step(now)
-        return joiner.claim(claim("one", later), now).vote
+        joiner.enter_if_complete(now)
+        return joiner.handle_claim(claim("one", later), now).vote
 
     early = NOW + seconds(10)
-    assert ask(NOW) is ask(early) is ask(NOW + POLICY.life) is Vote.ABSTAINS
-    assert ask(NOW + POLICY.life + seconds(20)) is Vote.GRANTED
+    assert ask(NOW) is ask(early) is ask(NOW + POLICY.retention) is ClaimDecision.ABSTAINS
+    assert ask(NOW + POLICY.retention + seconds(20)) is ClaimDecision.GRANTED
 
 
 @pytest.mark.parametrize("founder", [True, False])
@@ -224,39 +224,39 @@
     # The guards before were replaced under other names and are silent for good.
     c = duty("c", founder)
     later = view(1, "cde")
-    c.read_list(later, NOW)
-    wait = POLICY.list_lag + POLICY.lapse + POLICY.life
-    assert c.step(NOW + wait) is None
+    c.record_listed_view(later, NOW)
+    wait = POLICY.max_list_lag + POLICY.listing_timeout + POLICY.retention
+    assert c.enter_if_complete(NOW + wait) is None
     now = NOW + wait + seconds(1)
-    assert c.step(now) == later
+    assert c.enter_if_complete(now) == later
 
 
 def test_guard_of_a_changed_list_waits_anew() -> None:
     c = duty("c", founder=False)
-    c.read_list(view(1, "cde"), NOW)
-    wait = POLICY.list_lag + POLICY.lapse + POLICY.life
+    c.record_listed_view(view(1, "cde"), NOW)
+    wait = POLICY.max_list_lag + POLICY.listing_timeout + POLICY.retention
     now = NOW + wait + seconds(1)
-    c.read_list(view(2, "cfg"), now)
-    assert c.step(now) is None
+    c.record_listed_view(view(2, "cfg"), now)
+    assert c.enter_if_complete(now) is None
 
 
 def test_guard_that_reads_no_list_for_long_stops_voting() -> None:
     guard = duty("a")
-    now = NOW + POLICY.lapse + seconds(1)
-    assert guard.claim(claim("one"), now).vote is Vote.ABSTAINS
-    guard.read_list(FOUNDING, now)
-    assert guard.claim(claim("one"), now).vote is Vote.GRANTED
+    now = NOW + POLICY.listing_timeout + seconds(1)
+    assert guard.handle_claim(claim("one"), now).vote is ClaimDecision.ABSTAINS
+    guard.record_listed_view(FOUNDING, now)
+    assert guard.handle_claim(claim("one"), now).vote is ClaimDecision.GRANTED
 
 
 def test_handover_comes_in_pages() -> None:
     guard = duty("a")
     for n in range(4100):
-        guard.claim(claim("one", key=f"k{n:05}"), NOW)
+        guard.handle_claim(claim("one", key=f"k{n:05}"), NOW)
     request = HandoverRequest(FOUNDING, view(1, "abd"), HostId("d"), 1)
-    first = guard.hand_over(request, NOW)
+    first = guard.handle_handover_request(request, NOW)
     assert first.more
     after = first.records[-1].key
-    rest = guard.hand_over(
+    rest = guard.handle_handover_request(
         HandoverRequest(FOUNDING, view(1, "abd"), HostId("d"), 1, after), NOW
     )
     assert not rest.more
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -10,13 +10,13 @@
 from opentelemetry.trace import Span
 from returns.result import Failure, Result, Success
 
-from sardinequay_core.claimant import ClaimRound, Standing
+from sardinequay_core.claimant import ClaimRound, ClaimStatus
 from sardinequay_core.claims import ClaimPolicy, ClaimVote, Settle
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.names import AttemptId, DataCentre
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
-from sardinequay_core.views import GuardAddress, View, home_of, view_of
+from sardinequay_core.views import GuardAddress, View, home_data_centre, build_view
 
 from .caller_requests import Envelope
 from .journal import Journal
@@ -66,7 +66,7 @@
 
     def view(self, data_centre: DataCentre) -> View:
         """Return the latest view known of a data centre's guards."""
-        listed = view_of(self.roster, data_centre)
+        listed = build_view(self.roster, data_centre)
         learned = self.learned.get(data_centre, listed)
         return max(listed, learned, key=lambda view: view.number)
 
@@ -102,26 +102,26 @@
         self, key: str, caller: str, deadline: Instant
     ) -> Result[WonClaim, Refusal]:
         """Claim a caller's key for a new attempt, before the deadline."""
-        home = home_of(key, self.data_centres)
+        home = home_data_centre(key, self.data_centres)
         attempt = AttemptId(uuid.uuid4().hex)
         own_key = f"{caller}/{key}"
-        end = min(deadline, self.clock.monotonic() + self.policy.window)
+        end = min(deadline, self.clock.monotonic() + self.policy.vote_window)
         while True:
             round_ = await self.vote(self.view(home), own_key, attempt)
-            standing = round_.standing(self.clock.monotonic())
+            standing = round_.status(self.clock.monotonic())
             self.learn(round_)
-            if standing is Standing.WON:
+            if standing is ClaimStatus.WON:
                 self.metrics.claims.inc({"standing": "won"})
                 return Success(WonClaim(round_))
-            if standing is Standing.HELD or self.clock.monotonic() >= end:
+            if standing is ClaimStatus.HELD or self.clock.monotonic() >= end:
                 self.metrics.claims.inc({"standing": standing.value})
-                self.send(round_.release(), round_.view)
+                self.send(round_.build_release(), round_.view)
                 return Failure(refusal_of(round_, standing))
             await asyncio.sleep(ROUND_PAUSE_S)
 
     def learn(self, round_: ClaimRound) -> None:
         """Remember a later view that a guard named."""
-        later = round_.later_view()
+        later = round_.latest_named_view()
         if later is not None:
             self.learned[later.data_centre] = later
 
@@ -130,14 +130,14 @@
         round_ = ClaimRound(view, key, attempt, self.clock.monotonic(), self.policy)
         if not view.guards:
             return round_
-        window_s = self.policy.window.total_seconds()
+        window_s = self.policy.vote_window.total_seconds()
         asks = [
             asyncio.create_task(self.ask(round_, guard, window_s))
             for guard in view.guards
         ]
         for done in asyncio.as_completed(asks):
             await done
-            if round_.standing(self.clock.monotonic()) is not Standing.OPEN:
+            if round_.status(self.clock.monotonic()) is not ClaimStatus.OPEN:
                 break
         return round_
 
@@ -145,19 +145,19 @@
         self, round_: ClaimRound, guard: GuardAddress, timeout_s: float
     ) -> None:
         """Ask one guard for its vote."""
-        answer = await self.peers.call(guard.address, round_.request(), timeout_s)
+        answer = await self.peers.call(guard.address, round_.build_request(), timeout_s)
         vote = answer.value_or(None)
         if isinstance(vote, ClaimVote):
-            round_.take(guard.host_id, vote)
+            round_.record_vote(guard.host_id, vote)
         else:
-            round_.take_silence(guard.host_id)
+            round_.record_unreachable(guard.host_id)
 
     def settle(self, claim: WonClaim, outcome: Outcome) -> None:
         """Tell the guards what became of a claimed request.
 
         NOT_RUN gives the key back, so it must be certain and final.
         """
-        self.send(claim.round.settle(outcome), claim.round.view)
+        self.send(claim.round.build_settle(outcome), claim.round.view)
 
     def send(self, message: Settle, view: View) -> None:
         """Tell all guards without waiting; one that misses it lets the claim expire."""
@@ -171,12 +171,12 @@
         await self.peers.call(guard.address, message)
 
 
-def refusal_of(round_: ClaimRound, standing: Standing) -> Refusal:
+def refusal_of(round_: ClaimRound, standing: ClaimStatus) -> Refusal:
     """Return the answer to a request whose key was not won."""
-    if standing is not Standing.HELD:
+    if standing is not ClaimStatus.HELD:
         message = "the key's guards cannot be reached; the request was not started"
         return not_run(Reason.CLAIM_UNAVAILABLE, message, RETRY_AFTER)
-    settled = round_.settled()
+    settled = round_.settled_outcome()
     if settled is None:
         message = "another attempt holds the key; this one was not started"
         return Refusal(Reason.KEY_HELD, Outcome.UNKNOWN, message, RETRY_AFTER)
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -19,10 +19,10 @@
 )
 from sardinequay_core.clock import Clock
 from sardinequay_core.guard_duty import GuardDuty
-from sardinequay_core.joining import Joining
+from sardinequay_core.joining import ViewJoin
 from sardinequay_core.names import DataCentre, HostId, parse_address
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
-from sardinequay_core.views import GuardAddress, View, view_of
+from sardinequay_core.views import GuardAddress, View, build_view
 
 from .mailbox import Envelope, Mailbox, every
 from .peers import PeerCaller
@@ -36,10 +36,10 @@
 def claim_policy(settings: ClaimSettings) -> ClaimPolicy:
     """Return the core's durations."""
     return ClaimPolicy(
-        life=timedelta(seconds=settings.life_s),
-        window=timedelta(seconds=settings.window_s),
-        lapse=timedelta(seconds=settings.lapse_s),
-        list_lag=timedelta(seconds=settings.list_lag_s),
+        retention=timedelta(seconds=settings.life_s),
+        vote_window=timedelta(seconds=settings.window_s),
+        listing_timeout=timedelta(seconds=settings.lapse_s),
+        max_list_lag=timedelta(seconds=settings.list_lag_s),
     )
 
 
@@ -100,30 +100,30 @@
         message, now = envelope.message, self.clock.monotonic()
         if isinstance(message, ClaimRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.answer(duty.claim(message, now))
+            envelope.answer(duty.handle_claim(message, now))
         elif isinstance(message, Settle):
-            self.duties[message.data_centre].settle(message)
+            self.duties[message.data_centre].handle_settle(message)
             envelope.answer(Settled())
         elif isinstance(message, HandoverRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.answer(duty.hand_over(message, now))
+            envelope.answer(duty.handle_handover_request(message, now))
         elif isinstance(message, ViewQuery):
             guard = self.duties[message.data_centre].guard
-            envelope.answer(ViewReply(guard.active))
+            envelope.answer(ViewReply(guard.active_view))
 
     def take_list(self, roster: Roster) -> None:
         """Take the list that was read from the platform just now."""
         self.roster = roster
         now = self.clock.monotonic()
         for name, duty in self.duties.items():
-            duty.read_list(view_of(roster, name), now)
+            duty.record_listed_view(build_view(roster, name), now)
 
     def hear_roster(self, roster: Roster) -> None:
         """Take a roster that a peer told: it may name a later view."""
         self.roster = max(self.roster, roster, key=lambda r: r.number)
         now = self.clock.monotonic()
         for name, duty in self.duties.items():
-            duty.hear_view(view_of(roster, name), now)
+            duty.record_view(build_view(roster, name), now)
 
     async def join_step(self) -> None:
         """Ask for what is still missing, and enter views that are complete."""
@@ -131,7 +131,7 @@
             if duty.joining is None:
                 continue
             await self.gather(data_centre, duty, duty.joining)
-            entered = duty.step(self.clock.monotonic())
+            entered = duty.enter_if_complete(self.clock.monotonic())
             if entered is not None:
                 self.log_entered(duty, entered)
 
@@ -141,23 +141,23 @@
             "view": view.number,
             "guards": [g.host_id for g in view.guards],
             "of": view.data_centre,
-            "claims": len(duty.guard.claims),
+            "claims": len(duty.guard.claims_by_key),
         }
         log.info("guard entered a view", extra=details)
 
     async def gather(
-        self, data_centre: DataCentre, duty: GuardDuty, joining: Joining
+        self, data_centre: DataCentre, duty: GuardDuty, joining: ViewJoin
     ) -> None:
         """Ask once for everything that is missing."""
-        if not duty.guard.remembers:
+        if not duty.guard.has_full_memory:
             await self.find_start(data_centre, duty, joining)
-        wanted = joining.requests(self.clock.monotonic())
+        wanted = joining.pending_requests(self.clock.monotonic())
         await asyncio.gather(
             *[self.ask(joining, guard, request) for guard, request in wanted]
         )
 
     async def find_start(
-        self, data_centre: DataCentre, duty: GuardDuty, joining: Joining
+        self, data_centre: DataCentre, duty: GuardDuty, joining: ViewJoin
     ) -> None:
         """Ask the hosts of the data centre in which view they vote."""
         hosts = {h.peer_address for h in self.roster.hosts_in_data_centre(data_centre)}
@@ -169,10 +169,10 @@
         for answer in answers:
             reply = answer.value_or(None)
             if isinstance(reply, ViewReply) and reply.view is not None:
-                duty.take_start(reply.view)
+                duty.record_start_view(reply.view)
 
     async def ask(
-        self, joining: Joining, guard: GuardAddress, request: HandoverRequest
+        self, joining: ViewJoin, guard: GuardAddress, request: HandoverRequest
     ) -> None:
         """Fetch all pages of one guard's memory."""
         asked_at = self.clock.monotonic()
@@ -194,22 +194,22 @@
             if not page.more:
                 break
             after = page.records[-1].key
-        joining.take(request.view, guard.host_id, whole(pages), asked_at)
+        joining.record_handover(request.view, guard.host_id, whole(pages), asked_at)
 
     def expire(self) -> None:
         """Forget claims whose life is over."""
         for duty in self.duties.values():
-            duty.guard.expire(self.clock.monotonic())
+            duty.guard.expire_claims(self.clock.monotonic())
 
     def is_guard(self) -> bool:
         """Return whether this host guards any data centre in the latest list."""
-        views = (view_of(self.roster, name) for name in self.duties)
-        return any(view.has(self.me) for view in views)
+        views = (build_view(self.roster, name) for name in self.duties)
+        return any(view.has_guard(self.me) for view in views)
 
     def views(self) -> dict[str, int | None]:
         """Return the view in which this host votes, for each data centre."""
         return {
-            str(name): duty.guard.active.number if duty.guard.active else None
+            str(name): duty.guard.active_view.number if duty.guard.active_view else None
             for name, duty in self.duties.items()
         }
 
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -365,7 +365,7 @@
             bundle_version=in_place.bundle.version if in_place else 0,
             bundle_digest=in_place.bundle.digest if in_place else "",
             bundle_since=in_place.since.isoformat() if in_place else "",
-            confirmed_by=self.rollout.rollout.confirmed_by.value,
+            confirmed_by=self.rollout.rollout.confirmation.value,
             bundles_refused=sorted(f"{r} {d}" for r, d in self.rollout.rollout.refused),
             roster_number=self.roster.roster.number,
             in_flight=self.callers.admission.in_flight,
--- a/packages/daemon/src/sardinequay_daemon/rollout_task.py
+++ b/packages/daemon/src/sardinequay_daemon/rollout_task.py
@@ -107,11 +107,11 @@
         bound_s = self.timing.join_wait_s
         try:
             async with asyncio.timeout(bound_s):
-                while self.rollout.confirmed_by is Confirmation.PENDING:
+                while self.rollout.confirmation is Confirmation.PENDING:
                     await self.hear_peers(list(first_peers()))
                     await asyncio.sleep(JOIN_PAUSE_S)
         except TimeoutError:
-            self.rollout.confirmed_by = Confirmation.TIMED_OUT
+            self.rollout.confirmation = Confirmation.TIMED_OUT
             log.warning("no peer heard before serving", extra={"bound_s": bound_s})
 
     async def hear_peers(self, addresses: list[Address]) -> None:
@@ -124,7 +124,7 @@
                 continue
             if reply.data:
                 await self.consider(reply.data, address)
-            self.rollout.confirmed_by = Confirmation.PEERS
+            self.rollout.confirmation = Confirmation.PEERS
 
     async def watch(self) -> None:
         """Watch the service as a reader, or while nothing is in force.
--- a/packages/daemon/tests/test_rollout_task.py
+++ b/packages/daemon/tests/test_rollout_task.py
@@ -68,7 +68,7 @@
     made = RolloutTask(
         TRUST, service, peers, timing, metrics, Journal(clock), clock, lambda: True
     )
-    made.rollout.confirmed_by = Confirmation.PEERS
+    made.rollout.confirmation = Confirmation.PEERS
     return made
 
 
--- a/packages/lab/src/sardinequay_lab/bundle_model.py
+++ b/packages/lab/src/sardinequay_lab/bundle_model.py
@@ -53,7 +53,7 @@
         nodes = {
             name: (
                 node.rollout.in_force and node.rollout.in_force.root,
-                node.rollout.confirmed_by.value,
+                node.rollout.confirmation.value,
                 node.rollout.refused,
                 node.heard_version,
             )
--- a/packages/lab/src/sardinequay_lab/bundle_world.py
+++ b/packages/lab/src/sardinequay_lab/bundle_world.py
@@ -128,7 +128,7 @@
                 actions.append(("double", index))
         for name, node in self.nodes.items():
             actions += [("read", name), ("restart", name)]
-            if node.rollout.confirmed_by is Confirmation.PENDING:
+            if node.rollout.confirmation is Confirmation.PENDING:
                 actions.append(("time out", name))
             for other in HOSTS:
                 if other != name and len(self.packets) < MAX_PACKETS:
@@ -174,7 +174,7 @@
     def do_read(self, name: str) -> None:
         """Have a host read the service, if it may yet and the service is up."""
         node = self.nodes[name]
-        if self.shown >= 0 and node.rollout.confirmed_by is not Confirmation.PENDING:
+        if self.shown >= 0 and node.rollout.confirmation is not Confirmation.PENDING:
             self.consider(node, self.published[self.shown])
 
     # Hosts.
@@ -185,7 +185,7 @@
 
     def do_time_out(self, name: str) -> None:
         """Have a new host give up on hearing peers."""
-        self.nodes[name].rollout.confirmed_by = Confirmation.TIMED_OUT
+        self.nodes[name].rollout.confirmation = Confirmation.TIMED_OUT
 
     def do_gossip(self, name: str, other: str) -> None:
         """Have a host tell another what it has in force."""
@@ -196,7 +196,7 @@
 
     def do_hear(self, name: str, other: str) -> None:
         """Have a host fetch another's root."""
-        if self.nodes[other].rollout.confirmed_by is not Confirmation.PENDING:
+        if self.nodes[other].rollout.confirmation is not Confirmation.PENDING:
             data = self.nodes[other].data
             self.packets.append(Packet(other, name, data))
 
@@ -220,8 +220,8 @@
             self.consider(node, packet.data)
             parsed = parse_signed_root(packet.data).unwrap()
             node.heard_version = max(node.heard_version, parsed.root.version)
-        if node.rollout.confirmed_by is Confirmation.PENDING:
-            node.rollout.confirmed_by = Confirmation.PEERS
+        if node.rollout.confirmation is Confirmation.PENDING:
+            node.rollout.confirmation = Confirmation.PEERS
 
     def consider(self, node: Node, data: bytes) -> None:
         """Have a host judge a root and take it if it may."""
@@ -272,8 +272,8 @@
 
     def consider_after_join(self, node: Node, data: bytes) -> None:
         """Have a host read the service once it may."""
-        if node.rollout.confirmed_by is Confirmation.PENDING:
-            node.rollout.confirmed_by = Confirmation.TIMED_OUT
+        if node.rollout.confirmation is Confirmation.PENDING:
+            node.rollout.confirmation = Confirmation.TIMED_OUT
         self.consider(node, data)
 
     def exchange(self, name: str, other: str) -> None:
--- a/packages/lab/src/sardinequay_lab/claim_model.py
+++ b/packages/lab/src/sardinequay_lab/claim_model.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from sardinequay_core.claimant import ClaimRound, Standing
+from sardinequay_core.claimant import ClaimRound, ClaimStatus
 from sardinequay_core.claims import ViewQuery
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import AttemptId, HostId
@@ -61,7 +61,7 @@
         """Return what a claimant may do with the attempts that it has open."""
         actions: list[Action] = []
         for attempt, round_ in node.rounds.items():
-            if round_.standing(self.now) is not Standing.OPEN:
+            if round_.status(self.now) is not ClaimStatus.OPEN:
                 actions.append(("decide", name, attempt))
             for guard in round_.view.guards:
                 if (attempt, guard.host_id) not in self.asked:
@@ -87,22 +87,22 @@
         """Ask one guard and take its vote."""
         self.asked.add((attempt, guard))
         round_ = self.nodes[name].rounds[attempt]
-        vote = self.nodes[guard].duty.claim(round_.request(), self.now)
-        round_.take(HostId(guard), vote)
+        vote = self.nodes[guard].duty.handle_claim(round_.build_request(), self.now)
+        round_.record_vote(HostId(guard), vote)
 
     def do_decide(self, name: str, attempt: str) -> None:
         """Dispatch an attempt that won; one that lost just ends."""
         round_ = self.nodes[name].rounds.pop(attempt)
-        if round_.standing(self.now) is Standing.WON:
+        if round_.status(self.now) is ClaimStatus.WON:
             self.dispatch(round_.key, attempt)
 
     def do_gather(self, name: str) -> None:
         """Ask everybody for everything that is missing."""
         node = self.nodes[name]
         for other in self.hosts:
-            if other != name and not node.duty.guard.remembers:
+            if other != name and not node.duty.guard.has_full_memory:
                 self.exchange(name, other, ViewQuery(node.view.data_centre))
-        for guard, request in node.duty.requests(self.now):
+        for guard, request in node.duty.pending_requests(self.now):
             self.exchange(name, guard.host_id, request)
 
     def exchange(self, source: str, destination: str, message: Any) -> None:
@@ -113,7 +113,7 @@
 
     def do_enter(self, name: str) -> None:
         """Let a host enter its view if it can."""
-        self.nodes[name].duty.step(self.now)
+        self.nodes[name].duty.enter_if_complete(self.now)
 
     def do_wait(self, duration: float) -> None:
         """Let more than a window pass."""
@@ -131,7 +131,7 @@
         old = self.nodes[name]
         self.nodes[name] = self.start(name, old.incarnation + 1, founder=False)
         self.nodes[name].view = self.lists[-1]
-        self.nodes[name].duty.read_list(self.lists[-1], self.now)
+        self.nodes[name].duty.record_listed_view(self.lists[-1], self.now)
 
     def fingerprint(self) -> Hashable:
         """Return what tells states apart."""
--- a/packages/lab/src/sardinequay_lab/claim_world.py
+++ b/packages/lab/src/sardinequay_lab/claim_world.py
@@ -13,7 +13,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from sardinequay_core.claimant import ClaimRound, Standing
+from sardinequay_core.claimant import ClaimRound, ClaimStatus
 from sardinequay_core.claims import (
     ClaimPolicy,
     ClaimRequest,
@@ -35,7 +35,7 @@
 HOME = DataCentre("home")
 KEYS = ("k1",)
 POLICY = ClaimPolicy(
-    life=seconds(100), window=seconds(2), lapse=seconds(600), list_lag=seconds(10)
+    retention=seconds(100), vote_window=seconds(2), listing_timeout=seconds(600), max_list_lag=seconds(10)
 )
 MAX_MESSAGES = 40
 MAX_ATTEMPTS = 8
@@ -160,26 +160,26 @@
         node = self.nodes[name]
         number = self.random.randint(node.view.number + 1, len(self.lists) - 1)
         node.view = self.lists[number]
-        node.duty.read_list(node.view, self.now)
+        node.duty.record_listed_view(node.view, self.now)
 
     def do_restart(self, name: str) -> None:
         """Restart a host, which forgets everything."""
         old = self.nodes[name]
         self.nodes[name] = self.start(name, old.incarnation + 1, founder=False)
         self.nodes[name].view = self.random.choice(self.lists[old.view.number :])
-        self.nodes[name].duty.read_list(self.nodes[name].view, self.now)
+        self.nodes[name].duty.record_listed_view(self.nodes[name].view, self.now)
 
     def do_join(self, name: str) -> None:
         """Let a host work on entering its view."""
         node = self.nodes[name]
-        if not node.duty.guard.remembers:
+        if not node.duty.guard.has_full_memory:
             for other in self.hosts:
                 if other != name:
                     self.send(name, other, ViewQuery(HOME))
-        for guard, request in node.duty.requests(self.now):
+        for guard, request in node.duty.pending_requests(self.now):
             self.send(name, guard.host_id, request)
-        was_blank = not node.duty.guard.remembers
-        if node.duty.step(self.now) is not None:
+        was_blank = not node.duty.guard.has_full_memory
+        if node.duty.enter_if_complete(self.now) is not None:
             self.notes["view entered blank" if was_blank else "view entered"] += 1
 
     def do_claim(self, name: str, key: str) -> None:
@@ -188,27 +188,27 @@
         attempt = f"{name}{self.attempts}"
         node = self.nodes[name]
         current = max(
-            node.view, node.duty.guard.active or node.view, key=lambda v: v.number
+            node.view, node.duty.guard.active_view or node.view, key=lambda v: v.number
         )
         round_ = ClaimRound(current, key, AttemptId(attempt), self.now, POLICY)
         node.rounds[attempt] = round_
         for guard in current.guards:
-            self.send(name, guard.host_id, round_.request())
+            self.send(name, guard.host_id, round_.build_request())
 
     def do_decide(self, name: str, attempt: str) -> None:
         """Let an attempt look at its votes, and be dispatched if it won."""
         node = self.nodes[name]
         round_ = node.rounds[attempt]
-        standing = round_.standing(self.now)
-        if standing is Standing.OPEN:
+        standing = round_.status(self.now)
+        if standing is ClaimStatus.OPEN:
             return
         del node.rounds[attempt]
         self.notes[standing.value] += 1
-        if standing is Standing.WON:
+        if standing is ClaimStatus.WON:
             self.dispatch(round_.key, attempt)
             return
         for guard in round_.view.guards:
-            self.send(name, guard.host_id, round_.release())
+            self.send(name, guard.host_id, round_.build_release())
 
     def dispatch(self, key: str, attempt: str) -> None:
         """Dispatch an attempt; the second one with a key breaks the promise."""
@@ -248,13 +248,13 @@
         message = packet.message
         reply: Any = None
         if isinstance(message, ClaimRequest):
-            reply = duty.claim(message, self.now)
+            reply = duty.handle_claim(message, self.now)
         elif isinstance(message, HandoverRequest):
-            reply = duty.hand_over(message, self.now)
+            reply = duty.handle_handover_request(message, self.now)
         elif isinstance(message, ViewQuery):
-            reply = ViewReply(duty.guard.active)
+            reply = ViewReply(duty.guard.active_view)
         elif isinstance(message, Settle):
-            duty.settle(message)
+            duty.handle_settle(message)
         if reply is not None:
             back = Packet(
                 packet.destination, packet.source, reply, message, packet.asked_at
@@ -268,15 +268,15 @@
         if isinstance(reply, ClaimVote):
             round_ = node.rounds.get(asked.attempt)
             if round_ is not None:
-                round_.take(HostId(packet.source), reply)
+                round_.record_vote(HostId(packet.source), reply)
         elif isinstance(reply, Handover):
             joining_ = node.duty.joining
             is_mine = asked.incarnation == node.incarnation
             if joining_ and is_mine and joining_.target == asked.successor:
                 host_id = HostId(packet.source)
-                joining_.take(asked.view, host_id, reply, packet.asked_at)
+                joining_.record_handover(asked.view, host_id, reply, packet.asked_at)
         elif isinstance(reply, ViewReply) and reply.view is not None:
-            node.duty.take_start(reply.view)
+            node.duty.record_start_view(reply.view)
 
 
 # Each guard of the promise, and what the core does without it.
@@ -285,15 +285,15 @@
 @contextmanager
 def without_sealing() -> Iterator[None]:
     """Let guards vote on in a view that they handed over."""
-    hand_over = Guard.hand_over
+    hand_over = Guard.handle_handover_request
 
     def forgetful(self: Guard, request: HandoverRequest, now: Instant) -> Handover:
-        promised = self.promised
+        promised = self.lowest_allowed_view
         handover = hand_over(self, request, now)
-        self.promised = promised
+        self.lowest_allowed_view = promised
         return handover
 
-    with patch.object(Guard, "hand_over", forgetful):
+    with patch.object(Guard, "handle_handover_request", forgetful):
         yield
 
 
@@ -304,7 +304,7 @@
 
     def remembering(self: Guard, *words: Any) -> None:
         make(self, *words)
-        self.remembers = True
+        self.has_full_memory = True
 
     with patch.object(Guard, "__init__", remembering):
         yield
@@ -320,7 +320,7 @@
 @contextmanager
 def without_handover() -> Iterator[None]:
     """Enter views without taking the claims of those before."""
-    with patch.object(Guard, "merge", lambda *_: None):
+    with patch.object(Guard, "merge_records", lambda *_: None):
         yield
 
 
--- a/packages/lab/src/sardinequay_lab/slopes.py
+++ b/packages/lab/src/sardinequay_lab/slopes.py
@@ -248,9 +248,9 @@
         ]
         with traced_bytes() as sizes:
             for request in requests:
-                guard.claim(request, NOW)
+                guard.handle_claim(request, NOW)
         memory.append((size, sizes[0]))
-        time_us.append((size, timed(guard.claim, requests[0], NOW, times=2000)))
+        time_us.append((size, timed(guard.handle_claim, requests[0], NOW, times=2000)))
     tell("memory of a guard by claims", "bytes", "claim", memory)
     tell("one vote by claims remembered, microseconds", "us", "claim", time_us)
     request = ClaimRequest(view, "k" * 40, AttemptId("a" * 32))
