--- a/packages/core/src/sardinequay_core/keeper.py
+++ b/packages/core/src/sardinequay_core/keeper.py
@@ -19,15 +19,15 @@
 from .kept_engine import (
     Command,
     EngineReport,
-    Grant,
+    LeaseGrant,
     KeeperPolicy,
-    KeptEngine,
-    OrderLoad,
-    OrderRecall,
-    OrderUnload,
+    EngineRecord,
+    LoadCommand,
+    RecallCommand,
+    UnloadCommand,
 )
-from .leases import HolderId, Use
-from .load_queue import GiveUp, LoadQueue
+from .leases import HolderId, AdapterUse
+from .load_queue import RejectWaiter, LoadQueue
 from .names import AdapterRef, TargetId
 from .roster import Presence, Target
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Victim:
+class EvictionCandidate:
     """An adapter that may be evicted, by its worth."""
 
     worth: float
@@ -72,25 +72,25 @@
     def __init__(self, policy: KeeperPolicy, suffix: int, now: Instant) -> None:
         self.policy = policy
         self.suffix = suffix
-        self.engines: dict[TargetId, KeptEngine] = {}
-        self.leases: dict[Use, dict[HolderId, Grant]] = {}
-        self.queue = LoadQueue(policy.loads, now)
+        self.engines: dict[TargetId, EngineRecord] = {}
+        self.leases: dict[AdapterUse, dict[HolderId, LeaseGrant]] = {}
+        self.queue = LoadQueue(policy.load_policy, now)
 
     # What the platform and the engines say.
 
     def set_targets(self, targets: Iterable[Target]) -> None:
         """Take the pool's engines in this data centre."""
-        wanted = {t.target_id: t for t in targets}
-        for gone in self.engines.keys() - wanted.keys():
-            del self.engines[gone]
-        for target_id, target in wanted.items():
+        listed = {t.target_id: t for t in targets}
+        for removed in self.engines.keys() - listed.keys():
+            del self.engines[removed]
+        for target_id, target in listed.items():
             kept = self.engines.get(target_id)
             if kept is None or kept.target.address != target.address:
-                self.engines[target_id] = KeptEngine(target)
+                self.engines[target_id] = EngineRecord(target)
             else:
                 kept.target = target
 
-    def take_report(
+    def handle_report(
         self, report: EngineReport, asked_at: Instant, now: Instant
     ) -> None:
         """Take an engine's report that was asked for at `asked_at`."""
@@ -100,24 +100,24 @@
         before = kept.report
         kept.report = report
         kept.reported_at = now
-        kept.asked_at = asked_at
+        kept.report_requested_at = asked_at
         if before is None:
-            self.take_over(kept)
+            self.take_over_engine(kept)
         elif before.incarnation != report.incarnation:
-            self.restarted(kept)
+            self.handle_engine_restart(kept)
         elif kept.token and report.highest_token > kept.token:
             self.step_down(kept, now)
-        self.merge_resident(kept, asked_at)
-        if kept.token and not kept.asserting:
+        self.apply_recent_orders(kept, asked_at)
+        if kept.token and not kept.is_token_pending:
             kept.confirmed_at = max(kept.confirmed_at or asked_at, asked_at)
 
-    def step_down(self, kept: KeptEngine, now: Instant) -> None:
+    def step_down(self, kept: EngineRecord, now: Instant) -> None:
         """Leave an engine to the keeper with the higher token."""
         kept.token = 0
         kept.confirmed_at = None
         kept.stepped_down_at = now
 
-    def superseded(self, target: TargetId, now: Instant) -> None:
+    def handle_superseded(self, target: TargetId, now: Instant) -> None:
         """Take an engine's refusal of an order because of its old token."""
         kept = self.engines.get(target)
         if kept is not None:
@@ -125,39 +125,39 @@
             kept.unloading.clear()
             self.step_down(kept, now)
 
-    def take_over(self, kept: KeptEngine) -> None:
+    def take_over_engine(self, kept: EngineRecord) -> None:
         """Become an engine's keeper, with a higher token that it must take first."""
         assert kept.report is not None
         kept.token = first_token(kept.report.highest_token, self.suffix)
         kept.stepped_down_at = None
-        self.start_asserting(kept)
+        self.start_token_assertion(kept)
 
-    def start_asserting(self, kept: KeptEngine) -> None:
+    def start_token_assertion(self, kept: EngineRecord) -> None:
         """Grant and evict nothing until the engine took this keeper's token."""
-        kept.asserting = True
+        kept.is_token_pending = True
         kept.confirmed_at = None
-        kept.foreign_until = timedelta.max
+        kept.foreign_leases_until = timedelta.max
 
-    def restarted(self, kept: KeptEngine) -> None:
+    def handle_engine_restart(self, kept: EngineRecord) -> None:
         """Take an engine that lost all it had.
 
         Its leases are kept: holders may still dispatch under them, and an adapter
         that is loaded again must not be evicted under such a request. It forgot its
         highest token too, so the token is asserted anew before anything is granted.
         """
-        self.start_asserting(kept)
+        self.start_token_assertion(kept)
         kept.loading = None
         kept.draining.clear()
         kept.unloading.clear()
-        kept.ordered.clear()
+        kept.recent_orders.clear()
 
-    def merge_resident(self, kept: KeptEngine, asked_at: Instant) -> None:
+    def apply_recent_orders(self, kept: EngineRecord, asked_at: Instant) -> None:
         """Hold what orders changed against reports that are older than they."""
         assert kept.report is not None
         resident = set(kept.report.resident)
-        for adapter, (present, at) in list(kept.ordered.items()):
+        for adapter, (present, at) in list(kept.recent_orders.items()):
             if asked_at > at + self.policy.report_lag:
-                del kept.ordered[adapter]
+                del kept.recent_orders[adapter]
             elif present:
                 resident.add(adapter)
             else:
@@ -167,28 +167,28 @@
 
     # What the hosts ask.
 
-    def may_grant(self, kept: KeptEngine, now: Instant) -> bool:
+    def can_grant(self, kept: EngineRecord, now: Instant) -> bool:
         """Return whether this keeper's authority over an engine is recent enough."""
         return (
             kept.token > 0
             and kept.confirmed_at is not None
-            and now < kept.confirmed_at + self.policy.lease
+            and now < kept.confirmed_at + self.policy.lease_duration
         )
 
-    def grant(
-        self, kept: KeptEngine, use: Use, holder: HolderId, sequence: int
+    def grant_lease(
+        self, kept: EngineRecord, use: AdapterUse, holder: HolderId, sequence: int
     ) -> None:
         """Grant a lease that ends with this keeper's own authority at the latest."""
         assert kept.confirmed_at is not None
-        until = kept.confirmed_at + self.policy.lease
+        until = kept.confirmed_at + self.policy.lease_duration
         old = self.leases.setdefault(use, {}).get(holder)
         if old is not None:
             until, sequence = max(until, old.until), max(sequence, old.sequence)
-        self.leases[use][holder] = Grant(until, sequence)
+        self.leases[use][holder] = LeaseGrant(until, sequence)
 
-    def acquire(
+    def handle_acquire(
         self, holder: HolderId, adapter: AdapterRef, sequence: int, now: Instant
-    ) -> list[tuple[Use, timedelta]]:
+    ) -> list[tuple[AdapterUse, timedelta]]:
         """Grant leases on every engine of the data centre that holds an adapter.
 
         Returns
@@ -199,24 +199,24 @@
         self.queue.demand.add(adapter, now)
         granted = []
         for target_id, kept in self.engines.items():
-            use = Use(adapter, target_id)
+            use = AdapterUse(adapter, target_id)
             if adapter in kept.resident and self.is_renewable(kept, use, now):
-                self.grant(kept, use, holder, sequence)
-                granted.append((use, self.remaining(kept, now)))
+                self.grant_lease(kept, use, holder, sequence)
+                granted.append((use, self.remaining_lease(kept, now)))
         return granted
 
-    def remaining(self, kept: KeptEngine, now: Instant) -> timedelta:
+    def remaining_lease(self, kept: EngineRecord, now: Instant) -> timedelta:
         """Return how long a lease granted now lasts."""
         assert kept.confirmed_at is not None
-        return kept.confirmed_at + self.policy.lease - now
+        return kept.confirmed_at + self.policy.lease_duration - now
 
-    def renew(
+    def handle_renew(
         self,
         holder: HolderId,
-        uses: Iterable[tuple[Use, int]],
+        uses: Iterable[tuple[AdapterUse, int]],
         sequence: int,
         now: Instant,
-    ) -> list[tuple[Use, timedelta]]:
+    ) -> list[tuple[AdapterUse, timedelta]]:
         """Renew a holder's leases and return those renewed; the others are recalled.
 
         A lease that is not renewed is not returned by that: the holder may have begun
@@ -229,44 +229,44 @@
                 continue
             if self.is_renewable(kept, use, now):
                 self.queue.demand.add(use.adapter, now, in_flight)
-                self.grant(kept, use, holder, sequence)
-                renewed.append((use, self.remaining(kept, now)))
+                self.grant_lease(kept, use, holder, sequence)
+                renewed.append((use, self.remaining_lease(kept, now)))
             elif in_flight:
                 # Recalled, but still running: the eviction waits for it.
-                until = now + self.policy.lease
-                self.leases.setdefault(use, {})[holder] = Grant(until, sequence)
+                until = now + self.policy.lease_duration
+                self.leases.setdefault(use, {})[holder] = LeaseGrant(until, sequence)
         return renewed
 
-    def is_renewable(self, kept: KeptEngine, use: Use, now: Instant) -> bool:
+    def is_renewable(self, kept: EngineRecord, use: AdapterUse, now: Instant) -> bool:
         """Return whether leases on a use are granted and go on."""
         return (
             use.adapter not in kept.draining
             and kept.target.presence is Presence.LIVE
             and self.is_responsive(kept, now)
-            and self.may_grant(kept, now)
+            and self.can_grant(kept, now)
         )
 
-    def is_responsive(self, kept: KeptEngine, now: Instant) -> bool:
+    def is_responsive(self, kept: EngineRecord, now: Instant) -> bool:
         """Return whether an engine reported lately."""
-        return now - kept.reported_at <= self.policy.silent_after
+        return now - kept.reported_at <= self.policy.report_timeout
 
-    def give_back(self, holder: HolderId, use: Use, sequence: int) -> None:
+    def handle_lease_return(self, holder: HolderId, use: AdapterUse, sequence: int) -> None:
         """Take a lease back, unless it was granted by a later message."""
         held = self.leases.get(use, {})
         grant = held.get(holder)
         if grant is not None and sequence >= grant.sequence:
             del held[holder]
 
-    def want(
+    def handle_load_request(
         self, ticket: int, adapter: AdapterRef, deadline: Instant, now: Instant
-    ) -> GiveUp | None:
+    ) -> RejectWaiter | None:
         """Queue a request for a cold adapter, or give it up at once."""
         self.queue.demand.add(adapter, now)
-        if adapter in self.loading():
+        if adapter in self.loading_adapters():
             deadline = max(deadline, now + self.queue.load_time)
-        return self.queue.add(ticket, adapter, deadline, now)
+        return self.queue.add_request(ticket, adapter, deadline, now)
 
-    def loading(self) -> frozenset[AdapterRef]:
+    def loading_adapters(self) -> frozenset[AdapterRef]:
         """Return the adapters whose load is under way."""
         return frozenset(k.loading for k in self.engines.values() if k.loading)
 
@@ -274,48 +274,48 @@
 
     def tick(self, now: Instant) -> list[Command]:
         """Decide what to order now."""
-        self.queue.refill(now)
+        self.queue.refill_permits(now)
         self.queue.demand.forget_idle(now)
-        self.retake(now)
-        commands: list[Command] = [*self.queue.give_up_hopeless(now, self.loading())]
+        self.retake_engines(now)
+        commands: list[Command] = [*self.queue.reject_late_requests(now, self.loading_adapters())]
         commands += self.assert_tokens()
         commands += self.unload_drained(now)
         return commands + self.advance_loads(now)
 
-    def retake(self, now: Instant) -> None:
+    def retake_engines(self, now: Instant) -> None:
         """Take an engine again that another keeper had, if it is still ours to keep."""
         for kept in self.engines.values():
             at = kept.stepped_down_at
-            if at is not None and now >= at + self.policy.lease:
-                self.take_over(kept)
+            if at is not None and now >= at + self.policy.lease_duration:
+                self.take_over_engine(kept)
 
     def assert_tokens(self) -> list[Command]:
         """Make taken-over engines know the new token by an order without effect."""
         commands: list[Command] = []
         for kept in self.engines.values():
-            if kept.asserting and kept.resident and kept.loading is None:
+            if kept.is_token_pending and kept.resident and kept.loading is None:
                 adapter = min(kept.resident)
                 kept.loading = adapter
-                use = Use(adapter, kept.target.target_id)
-                commands.append(OrderLoad(use, kept.next_token()))
+                use = AdapterUse(adapter, kept.target.target_id)
+                commands.append(LoadCommand(use, kept.next_token()))
         return commands
 
-    def orderable(self) -> list[KeptEngine]:
+    def orderable_engines(self) -> list[EngineRecord]:
         """Return the engines that may be ordered to load or evict."""
         return [
             kept
             for kept in self.engines.values()
-            if kept.is_ordered_by_us() and kept.target.presence is Presence.LIVE
+            if kept.can_order() and kept.target.presence is Presence.LIVE
         ]
 
     def advance_loads(self, now: Instant) -> list[Command]:
         """Order loads where slots are free, else make room, the most wanted first."""
         commands: list[Command] = []
-        loading = self.loading()
-        room = self.engines_with_room(now)
-        victims: list[Victim] | None = None
+        loading = self.loading_adapters()
+        room = self.engines_with_free_slots(now)
+        victims: list[EvictionCandidate] | None = None
         drains = sum(len(kept.draining) for kept in self.engines.values())
-        for adapter in self.queue.order(now):
+        for adapter in self.queue.loadable_adapters(now):
             if adapter in loading:
                 continue
             kept = next((k for k in room if adapter not in k.resident), None)
@@ -323,105 +323,105 @@
                 if self.queue.permits < 1:
                     break
                 room.remove(kept)
-                commands.append(self.load_on(kept, adapter))
+                commands.append(self.load_command(kept, adapter))
                 continue
-            if drains >= self.policy.max_drains:
+            if drains >= self.policy.max_concurrent_drains:
                 break
-            victims = self.victims(now) if victims is None else victims
+            victims = self.eviction_candidates(now) if victims is None else victims
             if not victims or victims[0].worth >= self.queue.priority(adapter, now):
                 break
             victim = victims.pop(0)
             drains += 1
-            commands += self.drain(self.engines[victim.target], victim.adapter)
+            commands += self.drain_adapter(self.engines[victim.target], victim.adapter)
         return commands
 
-    def load_on(self, kept: KeptEngine, adapter: AdapterRef) -> OrderLoad:
+    def load_command(self, kept: EngineRecord, adapter: AdapterRef) -> LoadCommand:
         """Spend a permit on a load."""
         self.queue.permits -= 1
         kept.loading = adapter
-        return OrderLoad(Use(adapter, kept.target.target_id), kept.next_token())
+        return LoadCommand(AdapterUse(adapter, kept.target.target_id), kept.next_token())
 
-    def engines_with_room(self, now: Instant) -> list[KeptEngine]:
+    def engines_with_free_slots(self, now: Instant) -> list[EngineRecord]:
         """Return the engines that can load now, the least busy first."""
         free = [
             kept
-            for kept in self.orderable()
+            for kept in self.orderable_engines()
             if kept.free_slots() > 0
             and kept.loading is None
             and self.is_responsive(kept, now)
         ]
-        return sorted(free, key=lambda kept: (kept.load(), kept.target.target_id))
+        return sorted(free, key=lambda kept: (kept.request_count(), kept.target.target_id))
 
-    def victims(self, now: Instant) -> list[Victim]:
+    def eviction_candidates(self, now: Instant) -> list[EvictionCandidate]:
         """Return the adapters that may be evicted, the least wanted first."""
         return sorted(
-            Victim(self.queue.priority(resident, now), resident, kept.target.target_id)
-            for kept in self.orderable()
-            if not kept.asserting and now >= kept.foreign_until
-            for resident in kept.usable()
+            EvictionCandidate(self.queue.priority(resident, now), resident, kept.target.target_id)
+            for kept in self.orderable_engines()
+            if not kept.is_token_pending and now >= kept.foreign_leases_until
+            for resident in kept.usable_adapters()
             if resident != kept.loading
         )
 
-    def drain(self, kept: KeptEngine, victim: AdapterRef) -> list[Command]:
+    def drain_adapter(self, kept: EngineRecord, victim: AdapterRef) -> list[Command]:
         """Stop granting an adapter and recall what was granted."""
         kept.draining.add(victim)
-        use = Use(victim, kept.target.target_id)
-        return [OrderRecall(holder, use) for holder in sorted(self.leases.get(use, {}))]
+        use = AdapterUse(victim, kept.target.target_id)
+        return [RecallCommand(holder, use) for holder in sorted(self.leases.get(use, {}))]
 
     def unload_drained(self, now: Instant) -> list[Command]:
         """Order the eviction of adapters that nobody can use any more."""
         commands: list[Command] = []
-        for kept in self.orderable():
+        for kept in self.orderable_engines():
             for adapter in sorted(kept.draining - kept.unloading):
-                use = Use(adapter, kept.target.target_id)
+                use = AdapterUse(adapter, kept.target.target_id)
                 if self.is_unused(kept, use, now):
                     kept.unloading.add(adapter)
-                    commands.append(OrderUnload(use, kept.next_token()))
+                    commands.append(UnloadCommand(use, kept.next_token()))
         return commands
 
-    def is_unused(self, kept: KeptEngine, use: Use, now: Instant) -> bool:
+    def is_unused(self, kept: EngineRecord, use: AdapterUse, now: Instant) -> bool:
         """Return whether no request under a lease on a use can be left."""
         ends = [grant.until for grant in self.leases.get(use, {}).values()]
-        ends.append(kept.foreign_until)
+        ends.append(kept.foreign_leases_until)
         in_use = kept.report is not None and use.adapter in kept.report.in_use
-        return not in_use and self.is_over(kept, max(ends), now)
+        return not in_use and self.are_requests_over(kept, max(ends), now)
 
-    def is_over(self, kept: KeptEngine, end: Instant, now: Instant) -> bool:
+    def are_requests_over(self, kept: EngineRecord, end: Instant, now: Instant) -> bool:
         """Return whether requests under leases that ended at `end` are surely over."""
         if now < end:
             return False
         lag = self.policy.report_lag
-        if self.policy.trusts_reports and kept.asked_at >= end + lag:
+        if self.policy.are_reports_trusted and kept.report_requested_at >= end + lag:
             return True
         return now >= end + self.policy.longest_request
 
     # What became of orders.
 
-    def load_done(self, use: Use, took: timedelta, now: Instant) -> tuple[int, ...]:
+    def handle_load_done(self, use: AdapterUse, load_duration: timedelta, now: Instant) -> tuple[int, ...]:
         """Take a finished load; return the tickets that need not wait any more."""
         kept = self.engines.get(use.target)
         if kept is None or kept.loading != use.adapter:
             return ()
         kept.loading = None
         kept.resident.add(use.adapter)
-        kept.ordered[use.adapter] = (True, now)
-        if kept.asserting:
-            kept.asserting = False
+        kept.recent_orders[use.adapter] = (True, now)
+        if kept.is_token_pending:
+            kept.is_token_pending = False
             # Another keeper may be confirmed by a report from just before.
-            kept.foreign_until = now + self.policy.report_lag + self.policy.lease
+            kept.foreign_leases_until = now + self.policy.report_lag + self.policy.lease_duration
         if kept.token:
-            kept.confirmed_at = max(kept.confirmed_at or now - took, now - took)
-        return self.queue.loaded(use.adapter, took)
+            kept.confirmed_at = max(kept.confirmed_at or now - load_duration, now - load_duration)
+        return self.queue.remove_loaded(use.adapter, load_duration)
 
-    def load_failed(self, use: Use, now: Instant) -> None:
+    def handle_load_failed(self, use: AdapterUse, now: Instant) -> None:
         """Take a failed load: back off, and try where room is when the time comes."""
         kept = self.engines.get(use.target)
         if kept is not None and kept.loading == use.adapter:
             kept.loading = None
-        if kept is None or not kept.asserting:
-            self.queue.failed(use.adapter, now)
+        if kept is None or not kept.is_token_pending:
+            self.queue.back_off(use.adapter, now)
 
-    def unload_done(self, use: Use, now: Instant) -> None:
+    def handle_unload_done(self, use: AdapterUse, now: Instant) -> None:
         """Take a finished eviction."""
         kept = self.engines.get(use.target)
         if kept is None:
@@ -429,15 +429,15 @@
         kept.unloading.discard(use.adapter)
         kept.draining.discard(use.adapter)
         kept.resident.discard(use.adapter)
-        kept.ordered[use.adapter] = (False, now)
+        kept.recent_orders[use.adapter] = (False, now)
         self.leases.pop(use, None)
 
-    def unload_failed(self, use: Use) -> None:
+    def handle_unload_failed(self, use: AdapterUse) -> None:
         """Take an eviction of unknown fate; it is ordered again at the next tick."""
         kept = self.engines.get(use.target)
         if kept is not None:
             kept.unloading.discard(use.adapter)
 
-    def explain(self, use: Use) -> tuple[HolderId, ...]:
+    def lease_holders(self, use: AdapterUse) -> tuple[HolderId, ...]:
         """Return who holds a lease on a use."""
         return tuple(sorted(self.leases.get(use, {})))
--- a/packages/core/src/sardinequay_core/kept_engine.py
+++ b/packages/core/src/sardinequay_core/kept_engine.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 from .clock import ZERO, Instant
-from .leases import HolderId, Use
-from .load_queue import GiveUp, LoadPolicy
+from .leases import HolderId, AdapterUse
+from .load_queue import RejectWaiter, LoadPolicy
 from .names import AdapterRef, TargetId
 from .roster import Target
 
@@ -31,13 +31,13 @@
         An engine without a report for so long gets no new work.
     """
 
-    lease: timedelta = timedelta(seconds=10)
+    lease_duration: timedelta = timedelta(seconds=10)
     longest_request: timedelta = timedelta(seconds=120)
     report_lag: timedelta = timedelta(seconds=2)
-    trusts_reports: bool = True
-    max_drains: int = 2
-    silent_after: timedelta = timedelta(seconds=2)
-    loads: LoadPolicy = field(default_factory=LoadPolicy)
+    are_reports_trusted: bool = True
+    max_concurrent_drains: int = 2
+    report_timeout: timedelta = timedelta(seconds=2)
+    load_policy: LoadPolicy = field(default_factory=LoadPolicy)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,34 +65,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderLoad:
+class LoadCommand:
     """Command: have an engine load an adapter; done at once if it holds it."""
 
-    use: Use
+    use: AdapterUse
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class OrderUnload:
+class UnloadCommand:
     """Command: have an engine evict an adapter."""
 
-    use: Use
+    use: AdapterUse
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class OrderRecall:
+class RecallCommand:
     """Command: ask a holder to stop using an adapter and to return its lease."""
 
     holder: HolderId
-    use: Use
+    use: AdapterUse
 
 
-Command = OrderLoad | OrderUnload | OrderRecall | GiveUp
+Command = LoadCommand | UnloadCommand | RecallCommand | RejectWaiter
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class LeaseGrant:
     """When a lease ends, and the holder's message that it answers."""
 
     until: Instant
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class KeptEngine:
+class EngineRecord:
     """What the keeper knows of one engine.
 
     Parameters
@@ -123,19 +123,19 @@
     target: Target
     report: EngineReport | None = None
     token: int = 0
-    asserting: bool = False
+    is_token_pending: bool = False
     confirmed_at: Instant | None = None
     reported_at: Instant = ZERO
     stepped_down_at: Instant | None = None
-    asked_at: Instant = ZERO
-    foreign_until: Instant = timedelta.max
+    report_requested_at: Instant = ZERO
+    foreign_leases_until: Instant = timedelta.max
     loading: AdapterRef | None = None
     draining: set[AdapterRef] = field(default_factory=set)
     unloading: set[AdapterRef] = field(default_factory=set)
-    ordered: dict[AdapterRef, tuple[bool, Instant]] = field(default_factory=dict)
+    recent_orders: dict[AdapterRef, tuple[bool, Instant]] = field(default_factory=dict)
     resident: set[AdapterRef] = field(default_factory=set)
 
-    def usable(self) -> list[AdapterRef]:
+    def usable_adapters(self) -> list[AdapterRef]:
         """Return resident adapters that are not on their way out."""
         return sorted(self.resident - self.draining)
 
@@ -151,10 +151,10 @@
         self.token += 1
         return self.token
 
-    def is_ordered_by_us(self) -> bool:
+    def can_order(self) -> bool:
         """Return whether this keeper may order the engine at all."""
         return self.report is not None and self.token > 0
 
-    def load(self) -> int:
+    def request_count(self) -> int:
         """Return the requests on the engine, as last reported."""
         return self.report.running + self.report.waiting if self.report else 0
--- a/packages/core/tests/conftest.py
+++ b/packages/core/tests/conftest.py
@@ -8,8 +8,8 @@
 
 from sardinequay_core.clock import seconds
 from sardinequay_core.keeper import Keeper
-from sardinequay_core.kept_engine import EngineReport, KeeperPolicy, OrderLoad
-from sardinequay_core.leases import HolderId, Use
+from sardinequay_core.kept_engine import EngineReport, KeeperPolicy, LoadCommand
+from sardinequay_core.leases import HolderId, AdapterUse
 from sardinequay_core.load_queue import LoadPolicy
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.roster import Target, TargetKind
@@ -23,11 +23,11 @@
 @pytest.fixture
 def policy() -> KeeperPolicy:
     return KeeperPolicy(
-        lease=seconds(4),
+        lease_duration=seconds(4),
         longest_request=seconds(6),
         report_lag=seconds(1),
-        silent_after=seconds(30),
-        loads=LoadPolicy(loads_per_s=10, burst=5, load_time=seconds(0.1)),
+        report_timeout=seconds(30),
+        load_policy=LoadPolicy(loads_per_s=10, burst=5, load_time=seconds(0.1)),
     )
 
 
@@ -43,8 +43,8 @@
 
 
 @pytest.fixture
-def x_use(engine: Target) -> Use:
-    return Use(AdapterRef("x", "1"), engine.target_id)
+def x_use(engine: Target) -> AdapterUse:
+    return AdapterUse(AdapterRef("x", "1"), engine.target_id)
 
 
 @pytest.fixture
@@ -53,14 +53,14 @@
 
 
 @pytest.fixture
-def keeper(policy: KeeperPolicy, engine: Target, x_use: Use) -> Keeper:
+def keeper(policy: KeeperPolicy, engine: Target, x_use: AdapterUse) -> Keeper:
     """A keeper of one engine with two slots that holds x and is confirmed."""
     made = Keeper(policy, 7, START)
     made.set_targets([engine])
-    made.take_report(make_report(), START, START)
-    made.want(1, x_use.adapter, START + seconds(60), START)
-    (order,) = [c for c in made.tick(START) if isinstance(c, OrderLoad)]
-    made.load_done(order.use, timedelta(0), START)
+    made.handle_report(make_report(), START, START)
+    made.handle_load_request(1, x_use.adapter, START + seconds(60), START)
+    (order,) = [c for c in made.tick(START) if isinstance(c, LoadCommand)]
+    made.handle_load_done(order.use, timedelta(0), START)
     return made
 
 
--- a/packages/core/tests/test_keeper.py
+++ b/packages/core/tests/test_keeper.py
@@ -10,12 +10,12 @@
 from sardinequay_core.kept_engine import (
     EngineReport,
     KeeperPolicy,
-    OrderLoad,
-    OrderRecall,
-    OrderUnload,
+    LoadCommand,
+    RecallCommand,
+    UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, Use
-from sardinequay_core.load_queue import GiveUp
+from sardinequay_core.leases import HolderId, AdapterUse
+from sardinequay_core.load_queue import RejectWaiter
 from sardinequay_core.names import AdapterRef, TargetId
 from sardinequay_core.roster import Presence, Target
 
@@ -36,7 +36,7 @@
 
     def take(now: Instant, *names: str, in_use: tuple[str, ...] = ()) -> None:
         token = keeper.engines[TargetId("engine")].token
-        keeper.take_report(report(*names, token=token, in_use=in_use), now, now)
+        keeper.handle_report(report(*names, token=token, in_use=in_use), now, now)
 
     return take
 
@@ -44,33 +44,33 @@
 def want_z(keeper: Keeper, now: Instant) -> None:
     """Have z wanted so much that x must go, while y is in demand."""
     for ticket in range(5):
-        keeper.want(100 + ticket, Z, now + seconds(60), now)
+        keeper.handle_load_request(100 + ticket, Z, now + seconds(60), now)
         keeper.queue.demand.add(Y, now, 10)
 
 
 def test_renewal_without_requests_returns_no_lease(
-    keeper: Keeper, x_use: Use, holder: HolderId, confirm: Confirm
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, confirm: Confirm
 ) -> None:
     # The holder may begin a request after it sent the renewal: only its own word
     # returns a lease. Found by exploring evictions, seed 32.
     confirm(LATER, "x")
-    keeper.acquire(holder, x_use.adapter, 1, LATER)
+    keeper.handle_acquire(holder, x_use.adapter, 1, LATER)
     keeper.engines[x_use.target].draining.add(x_use.adapter)
-    keeper.renew(holder, [(x_use, 0)], 2, LATER)
-    assert not orders(keeper, LATER, OrderUnload)
+    keeper.handle_renew(holder, [(x_use, 0)], 2, LATER)
+    assert not orders(keeper, LATER, UnloadCommand)
 
 
 def test_idle_adapter_is_evicted_at_once_when_returned(
-    keeper: Keeper, x_use: Use, holder: HolderId, confirm: Confirm
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, confirm: Confirm
 ) -> None:
     confirm(LATER, "x")
-    keeper.acquire(holder, x_use.adapter, 1, LATER)
+    keeper.handle_acquire(holder, x_use.adapter, 1, LATER)
     confirm(LATER, "x", "y")
     want_z(keeper, LATER)
-    assert orders(keeper, LATER, OrderRecall) == [OrderRecall(holder, x_use)]
-    assert not orders(keeper, LATER, OrderUnload)
-    keeper.give_back(holder, x_use, 2)
-    (order,) = orders(keeper, LATER, OrderUnload)
+    assert orders(keeper, LATER, RecallCommand) == [RecallCommand(holder, x_use)]
+    assert not orders(keeper, LATER, UnloadCommand)
+    keeper.handle_lease_return(holder, x_use, 2)
+    (order,) = orders(keeper, LATER, UnloadCommand)
     assert order.use == x_use
 
 
@@ -86,7 +86,7 @@
 def test_silent_holder_delays_eviction(
     policy: KeeperPolicy,
     keeper: Keeper,
-    x_use: Use,
+    x_use: AdapterUse,
     holder: HolderId,
     trusts_reports: bool,
     after: float,
@@ -94,99 +94,99 @@
     confirm: Confirm,
 ) -> None:
     keeper.policy = KeeperPolicy(
-        lease=policy.lease,
+        lease_duration=policy.lease_duration,
         longest_request=policy.longest_request,
         report_lag=policy.report_lag,
-        silent_after=policy.silent_after,
-        trusts_reports=trusts_reports,
-        loads=policy.loads,
+        report_timeout=policy.report_timeout,
+        are_reports_trusted=trusts_reports,
+        load_policy=policy.load_policy,
     )
     confirm(LATER, "x")
-    keeper.acquire(holder, x_use.adapter, 1, LATER)
+    keeper.handle_acquire(holder, x_use.adapter, 1, LATER)
     keeper.engines[x_use.target].draining.add(x_use.adapter)
     now = LATER + seconds(after)
     confirm(now, "x")
-    assert bool(orders(keeper, now, OrderUnload)) is evicted
+    assert bool(orders(keeper, now, UnloadCommand)) is evicted
 
 
 def test_adapter_reported_in_use_is_not_evicted(
-    keeper: Keeper, x_use: Use, confirm: Confirm
+    keeper: Keeper, x_use: AdapterUse, confirm: Confirm
 ) -> None:
     keeper.engines[x_use.target].draining.add(x_use.adapter)
     confirm(LATER, "x", in_use=("x",))
-    assert not orders(keeper, LATER, OrderUnload)
+    assert not orders(keeper, LATER, UnloadCommand)
 
 
 def test_new_keeper_grants_nothing_before_the_engine_took_its_token(
-    policy: KeeperPolicy, engine: Target, x_use: Use, holder: HolderId, report: Report
+    policy: KeeperPolicy, engine: Target, x_use: AdapterUse, holder: HolderId, report: Report
 ) -> None:
     keeper = Keeper(policy, 9, START)
     keeper.set_targets([engine])
-    keeper.take_report(report("x", token=5 << 40), START, START)
-    assert keeper.acquire(holder, x_use.adapter, 1, START) == []
-    (order,) = orders(keeper, START, OrderLoad)
+    keeper.handle_report(report("x", token=5 << 40), START, START)
+    assert keeper.handle_acquire(holder, x_use.adapter, 1, START) == []
+    (order,) = orders(keeper, START, LoadCommand)
     assert order.use == x_use
     assert order.token > 5 << 40
-    keeper.load_done(order.use, timedelta(0), START)
-    assert [use for use, _ in keeper.acquire(holder, x_use.adapter, 2, START)] == [
+    keeper.handle_load_done(order.use, timedelta(0), START)
+    assert [use for use, _ in keeper.handle_acquire(holder, x_use.adapter, 2, START)] == [
         x_use
     ]
 
 
 def test_new_keeper_waits_out_leases_of_the_one_before(
-    policy: KeeperPolicy, engine: Target, x_use: Use, report: Report
+    policy: KeeperPolicy, engine: Target, x_use: AdapterUse, report: Report
 ) -> None:
     keeper = Keeper(policy, 9, START)
     keeper.set_targets([engine])
-    keeper.take_report(report("x", token=5 << 40), START, START)
-    (order,) = orders(keeper, START, OrderLoad)
-    keeper.load_done(order.use, timedelta(0), START)
+    keeper.handle_report(report("x", token=5 << 40), START, START)
+    (order,) = orders(keeper, START, LoadCommand)
+    keeper.handle_load_done(order.use, timedelta(0), START)
     keeper.engines[x_use.target].draining.add(x_use.adapter)
     token = keeper.engines[x_use.target].token
     for after, evicted in ((5.5, False), (6, True)):
         now = START + seconds(after)
-        keeper.take_report(report("x", token=token), now, now)
-        assert bool(orders(keeper, now, OrderUnload)) is evicted
+        keeper.handle_report(report("x", token=token), now, now)
+        assert bool(orders(keeper, now, UnloadCommand)) is evicted
 
 
 def test_keeper_with_an_old_token_steps_down(
-    keeper: Keeper, x_use: Use, holder: HolderId, report: Report
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, report: Report
 ) -> None:
-    keeper.take_report(report("x", token=99 << 40), LATER, LATER)
-    assert keeper.acquire(holder, x_use.adapter, 1, LATER) == []
-    assert not orders(keeper, LATER, OrderLoad)
+    keeper.handle_report(report("x", token=99 << 40), LATER, LATER)
+    assert keeper.handle_acquire(holder, x_use.adapter, 1, LATER) == []
+    assert not orders(keeper, LATER, LoadCommand)
 
 
 def test_lease_ends_with_the_keepers_own_authority(
-    keeper: Keeper, x_use: Use, holder: HolderId, confirm: Confirm
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, confirm: Confirm
 ) -> None:
     confirm(LATER, "x")
-    ((_, lasts),) = keeper.acquire(holder, x_use.adapter, 1, LATER + seconds(3))
+    ((_, lasts),) = keeper.handle_acquire(holder, x_use.adapter, 1, LATER + seconds(3))
     assert lasts == seconds(1)
-    assert keeper.acquire(holder, x_use.adapter, 2, LATER + seconds(4)) == []
+    assert keeper.handle_acquire(holder, x_use.adapter, 2, LATER + seconds(4)) == []
 
 
 def test_restarted_engine_is_cold_and_its_old_leases_still_count(
-    keeper: Keeper, x_use: Use, holder: HolderId, confirm: Confirm, report: Report
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, confirm: Confirm, report: Report
 ) -> None:
     confirm(LATER, "x")
-    keeper.acquire(holder, x_use.adapter, 1, LATER)
-    keeper.take_report(report(incarnation="2"), LATER, LATER)
-    assert keeper.acquire(HolderId("h2"), x_use.adapter, 1, LATER) == []
-    assert keeper.explain(x_use) == (holder,)
+    keeper.handle_acquire(holder, x_use.adapter, 1, LATER)
+    keeper.handle_report(report(incarnation="2"), LATER, LATER)
+    assert keeper.handle_acquire(HolderId("h2"), x_use.adapter, 1, LATER) == []
+    assert keeper.lease_holders(x_use) == (holder,)
 
 
 def test_return_that_was_overtaken_by_a_new_lease_is_void(
-    keeper: Keeper, x_use: Use, holder: HolderId, confirm: Confirm
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, confirm: Confirm
 ) -> None:
     confirm(LATER, "x")
-    keeper.acquire(holder, x_use.adapter, 5, LATER)
-    keeper.give_back(holder, x_use, 4)
-    assert keeper.explain(x_use) == (holder,)
+    keeper.handle_acquire(holder, x_use.adapter, 5, LATER)
+    keeper.handle_lease_return(holder, x_use, 4)
+    assert keeper.lease_holders(x_use) == (holder,)
 
 
 def test_leaving_engine_gets_no_lease_and_no_load(
-    keeper: Keeper, engine: Target, x_use: Use, holder: HolderId, confirm: Confirm
+    keeper: Keeper, engine: Target, x_use: AdapterUse, holder: HolderId, confirm: Confirm
 ) -> None:
     confirm(LATER, "x")
     leaving = Target(
@@ -198,59 +198,59 @@
         Presence.LEAVING,
     )
     keeper.set_targets([leaving])
-    assert keeper.acquire(holder, x_use.adapter, 1, LATER) == []
-    keeper.want(9, Y, LATER + seconds(60), LATER)
-    assert not orders(keeper, LATER, OrderLoad)
+    assert keeper.handle_acquire(holder, x_use.adapter, 1, LATER) == []
+    keeper.handle_load_request(9, Y, LATER + seconds(60), LATER)
+    assert not orders(keeper, LATER, LoadCommand)
 
 
 def test_silent_engine_gets_no_new_work(
-    keeper: Keeper, x_use: Use, holder: HolderId, confirm: Confirm
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, confirm: Confirm
 ) -> None:
     confirm(LATER, "x")
-    now = LATER + keeper.policy.silent_after + seconds(1)
+    now = LATER + keeper.policy.report_timeout + seconds(1)
     keeper.engines[x_use.target].confirmed_at = now
-    assert keeper.acquire(holder, x_use.adapter, 1, now) == []
+    assert keeper.handle_acquire(holder, x_use.adapter, 1, now) == []
 
 
 def test_failed_load_is_held_back_and_hopeless_requests_are_told_at_once(
     keeper: Keeper, confirm: Confirm
 ) -> None:
     confirm(LATER, "x")
-    keeper.want(2, Y, LATER + seconds(0.5), LATER)
-    (order,) = orders(keeper, LATER, OrderLoad)
-    keeper.load_failed(order.use, LATER)
-    assert [c.ticket for c in orders(keeper, LATER, GiveUp)] == [2]
+    keeper.handle_load_request(2, Y, LATER + seconds(0.5), LATER)
+    (order,) = orders(keeper, LATER, LoadCommand)
+    keeper.handle_load_failed(order.use, LATER)
+    assert [c.ticket for c in orders(keeper, LATER, RejectWaiter)] == [2]
 
 
 def test_late_report_does_not_undo_a_finished_load(
-    keeper: Keeper, x_use: Use, holder: HolderId, report: Report
+    keeper: Keeper, x_use: AdapterUse, holder: HolderId, report: Report
 ) -> None:
-    keeper.take_report(report(token=0), START, START + seconds(0.5))
-    assert keeper.acquire(holder, x_use.adapter, 1, START + seconds(0.5))
+    keeper.handle_report(report(token=0), START, START + seconds(0.5))
+    assert keeper.handle_acquire(holder, x_use.adapter, 1, START + seconds(0.5))
 
 
 def test_order_refused_for_its_token_ends_the_keepership_for_a_lease(
-    keeper: Keeper, x_use: Use, report: Report
+    keeper: Keeper, x_use: AdapterUse, report: Report
 ) -> None:
-    keeper.superseded(x_use.target, LATER)
-    assert not orders(keeper, LATER, OrderLoad)
-    keeper.take_report(report("x", token=99 << 40), LATER, LATER)
-    now = LATER + keeper.policy.lease
-    (order,) = orders(keeper, now, OrderLoad)
+    keeper.handle_superseded(x_use.target, LATER)
+    assert not orders(keeper, LATER, LoadCommand)
+    keeper.handle_report(report("x", token=99 << 40), LATER, LATER)
+    now = LATER + keeper.policy.lease_duration
+    (order,) = orders(keeper, now, LoadCommand)
     assert order.token > 99 << 40
 
 
 def test_orders_of_an_old_term_never_rise_above_a_newer_one(
-    policy: KeeperPolicy, engine: Target, x_use: Use, report: Report
+    policy: KeeperPolicy, engine: Target, x_use: AdapterUse, report: Report
 ) -> None:
     # Found by exploring evictions, seed 100: each order took a new term, so a keeper
     # that was replaced overtook its successor without noticing.
     old = Keeper(policy, 1, START)
     old.set_targets([engine])
-    old.take_report(report(), START, START)
+    old.handle_report(report(), START, START)
     new = Keeper(policy, 2, START)
     new.set_targets([engine])
-    new.take_report(report(token=old.engines[x_use.target].token), START, START)
+    new.handle_report(report(token=old.engines[x_use.target].token), START, START)
     newer = new.engines[x_use.target].token
     assert all(old.engines[x_use.target].next_token() < newer for _ in range(100))
 
--- a/packages/core/tests/test_leases.py
+++ b/packages/core/tests/test_leases.py
@@ -3,70 +3,70 @@
 import pytest
 
 from sardinequay_core.clock import seconds
-from sardinequay_core.leases import RETURNS_KEPT, LeaseTable, Use
+from sardinequay_core.leases import RETURN_HISTORY_MESSAGES, LeaseTable, AdapterUse
 
 NOW = seconds(100)
 UNTIL = NOW + seconds(10)
 
 
 @pytest.fixture
-def table(x_use: Use) -> LeaseTable:
+def table(x_use: AdapterUse) -> LeaseTable:
     made = LeaseTable()
-    made.grant(x_use, UNTIL, made.next_sequence())
+    made.record_grant(x_use, UNTIL, made.next_sequence())
     return made
 
 
-def test_dispatch_needs_a_lease_that_still_lasts(table: LeaseTable, x_use: Use) -> None:
-    assert table.begin(x_use, NOW)
-    assert not table.begin(x_use, UNTIL)
-    assert table.usable(x_use.adapter, UNTIL) == []
+def test_dispatch_needs_a_lease_that_still_lasts(table: LeaseTable, x_use: AdapterUse) -> None:
+    assert table.begin_request(x_use, NOW)
+    assert not table.begin_request(x_use, UNTIL)
+    assert table.usable_uses(x_use.adapter, UNTIL) == []
 
 
 def test_recalled_lease_takes_no_new_request_and_returns_with_the_last(
-    table: LeaseTable, x_use: Use
+    table: LeaseTable, x_use: AdapterUse
 ) -> None:
-    table.begin(x_use, NOW)
-    assert table.recall(x_use) == 1
-    assert not table.begin(x_use, NOW)
-    assert table.end(x_use)
-    assert table.held() == []
+    table.begin_request(x_use, NOW)
+    assert table.handle_recall(x_use) == 1
+    assert not table.begin_request(x_use, NOW)
+    assert table.end_request(x_use)
+    assert table.held_leases() == []
 
 
 def test_answer_to_an_older_message_brings_no_returned_lease_back(
-    table: LeaseTable, x_use: Use
+    table: LeaseTable, x_use: AdapterUse
 ) -> None:
     asked = table.next_sequence()
-    table.recall(x_use)
-    table.grant(x_use, UNTIL, asked)
-    assert not table.begin(x_use, NOW)
-    table.grant(x_use, UNTIL, table.next_sequence())
-    assert table.begin(x_use, NOW)
+    table.handle_recall(x_use)
+    table.record_grant(x_use, UNTIL, asked)
+    assert not table.begin_request(x_use, NOW)
+    table.record_grant(x_use, UNTIL, table.next_sequence())
+    assert table.begin_request(x_use, NOW)
 
 
 def test_renewal_does_not_revive_a_recalled_lease(
-    table: LeaseTable, x_use: Use
+    table: LeaseTable, x_use: AdapterUse
 ) -> None:
-    table.begin(x_use, NOW)
-    table.recall(x_use)
-    table.grant(x_use, UNTIL, table.next_sequence())
+    table.begin_request(x_use, NOW)
+    table.handle_recall(x_use)
+    table.record_grant(x_use, UNTIL, table.next_sequence())
     assert not table.is_usable(x_use, NOW)
 
 
 def test_expired_lease_is_kept_while_requests_run(
-    table: LeaseTable, x_use: Use
+    table: LeaseTable, x_use: AdapterUse
 ) -> None:
-    table.begin(x_use, NOW)
-    assert table.expire(UNTIL) == []
-    table.end(x_use)
-    assert table.expire(UNTIL) == [x_use]
+    table.begin_request(x_use, NOW)
+    assert table.expire_idle(UNTIL) == []
+    table.end_request(x_use)
+    assert table.expire_idle(UNTIL) == [x_use]
 
 
 def test_returns_are_forgotten_when_no_answer_can_be_that_late(
-    table: LeaseTable, x_use: Use
+    table: LeaseTable, x_use: AdapterUse
 ) -> None:
-    table.recall(x_use)
-    table.expire(NOW)
-    assert x_use in table.returned
-    table.sequence += RETURNS_KEPT + 1
-    table.expire(NOW)
-    assert table.returned == {}
+    table.handle_recall(x_use)
+    table.expire_idle(NOW)
+    assert x_use in table.returned_at_sequence
+    table.sequence += RETURN_HISTORY_MESSAGES + 1
+    table.expire_idle(NOW)
+    assert table.returned_at_sequence == {}
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -57,39 +57,39 @@
 def test_most_wanted_adapter_is_loaded_first() -> None:
     queue = LoadQueue(LoadPolicy(loads_per_s=1), NOW)
     for ticket, adapter in enumerate((X, Y, Y, Z)):
-        queue.add(ticket, adapter, NOW + seconds(60), NOW)
-    assert queue.order(NOW)[0] == Y
+        queue.add_request(ticket, adapter, NOW + seconds(60), NOW)
+    assert queue.loadable_adapters(NOW)[0] == Y
 
 
 def test_request_that_would_wait_past_its_deadline_is_given_up_at_once() -> None:
     queue = LoadQueue(LoadPolicy(loads_per_s=1, burst=1), NOW)
     for ticket in range(5):
-        queue.add(ticket, AdapterRef(f"a{ticket}", "1"), NOW + seconds(60), NOW)
-    given_up = queue.add(9, X, NOW + seconds(3), NOW)
+        queue.add_request(ticket, AdapterRef(f"a{ticket}", "1"), NOW + seconds(60), NOW)
+    given_up = queue.add_request(9, X, NOW + seconds(3), NOW)
     assert given_up.retry_after > seconds(3)
 
 
 def test_queue_of_adapters_is_bounded() -> None:
-    queue = LoadQueue(LoadPolicy(loads_per_s=1000, max_adapters=1), NOW)
-    assert queue.add(1, X, NOW + seconds(60), NOW) is None
-    assert queue.add(2, Y, NOW + seconds(60), NOW) is not None
+    queue = LoadQueue(LoadPolicy(loads_per_s=1000, max_waiting_adapters=1), NOW)
+    assert queue.add_request(1, X, NOW + seconds(60), NOW) is None
+    assert queue.add_request(2, Y, NOW + seconds(60), NOW) is not None
 
 
 def test_failed_loads_are_held_back_longer_each_time() -> None:
-    queue = LoadQueue(LoadPolicy(loads_per_s=1, backoff=seconds(1)), NOW)
-    queue.add(1, X, NOW + seconds(600), NOW)
-    queue.failed(X, NOW)
+    queue = LoadQueue(LoadPolicy(loads_per_s=1, initial_backoff=seconds(1)), NOW)
+    queue.add_request(1, X, NOW + seconds(600), NOW)
+    queue.back_off(X, NOW)
     assert queue.waiting[X].not_before == NOW + seconds(1)
-    queue.failed(X, NOW)
+    queue.back_off(X, NOW)
     assert queue.waiting[X].not_before == NOW + seconds(2)
-    assert queue.order(NOW) == []
+    assert queue.loadable_adapters(NOW) == []
 
 
 def test_cancelled_request_is_not_loaded_for() -> None:
     queue = LoadQueue(LoadPolicy(loads_per_s=1), NOW)
-    queue.add(1, X, NOW + seconds(60), NOW)
-    queue.cancel(1, X)
-    assert queue.order(NOW) == []
+    queue.add_request(1, X, NOW + seconds(60), NOW)
+    queue.cancel_request(1, X)
+    assert queue.loadable_adapters(NOW) == []
 
 
 def test_demand_halves_and_is_forgotten() -> None:
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -16,7 +16,7 @@
 from returns.result import Success
 
 from sardinequay_core.admission import RetryBudget, RetryPolicy
-from sardinequay_core.leases import Use
+from sardinequay_core.leases import AdapterUse
 from sardinequay_core.names import Address, PoolName
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run
 
@@ -173,7 +173,7 @@
             finally:
                 self.leases.end(use)
 
-    async def obtain(self, request: ModelRequest, parent: Span) -> Use:
+    async def obtain(self, request: ModelRequest, parent: Span) -> AdapterUse:
         """Obtain a lease on an engine that holds the adapter."""
         envelope = request.envelope
         leased = self.leases.best(request.adapter)
@@ -185,11 +185,11 @@
             )
         if not isinstance(found, Success):
             raise Refused(found.failure())
-        obtained: Use = found.unwrap()
+        obtained: AdapterUse = found.unwrap()
         return obtained
 
     async def run_on(
-        self, use: Use, request: ModelRequest, progress: Progress, parent: Span
+        self, use: AdapterUse, request: ModelRequest, progress: Progress, parent: Span
     ) -> AsyncGenerator[Events, None]:
         """Yield events from one engine; have it stop if they are not all wanted."""
         address = self.leases.targets[use.target].address
@@ -246,7 +246,7 @@
     def after_failure(
         self,
         request: ModelRequest,
-        use: Use,
+        use: AdapterUse,
         progress: Progress,
         error: TargetError,
         budget: RetryBudget,
@@ -257,7 +257,7 @@
         )
         progress.end_attempt(error.proves_not_run)
         if error.fault is TargetFault.NOT_LOADED:
-            self.leases.table.drop(use)
+            self.leases.table.return_lease(use)
             progress.not_loaded += 1
             if progress.not_loaded <= MAX_NOT_LOADED:
                 return
--- a/packages/daemon/src/sardinequay_daemon/engines.py
+++ b/packages/daemon/src/sardinequay_daemon/engines.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 from sardinequay_core.kept_engine import EngineReport
-from sardinequay_core.leases import Use
+from sardinequay_core.leases import AdapterUse
 from sardinequay_core.names import AdapterRef, Address, TargetId
 from sardinequay_core.roster import Target, TargetKind
 
@@ -64,12 +64,12 @@
         """Return what an engine says of itself."""
 
     async def load(
-        self, target: Target, use: Use, token: int
+        self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
         """Have an adapter loaded; return when it is."""
 
     async def unload(
-        self, target: Target, use: Use, token: int
+        self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
         """Have an adapter evicted; return when it is."""
 
@@ -107,19 +107,19 @@
         return decode_report(target.target_id, data)
 
     async def load(
-        self, target: Target, use: Use, token: int
+        self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
         """Have an adapter loaded; return when it is."""
         return await self.order(target, "/v1/load_lora_adapter", use, token)
 
     async def unload(
-        self, target: Target, use: Use, token: int
+        self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
         """Have an adapter evicted; return when it is."""
         return await self.order(target, "/v1/unload_lora_adapter", use, token)
 
     async def order(
-        self, target: Target, path: str, use: Use, token: int
+        self, target: Target, path: str, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
         """Give an order with its fencing token."""
         body = {
--- a/packages/daemon/src/sardinequay_daemon/keeper_events.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_events.py
@@ -7,9 +7,9 @@
 from sardinequay_core.clock import Instant
 from sardinequay_core.kept_engine import (
     EngineReport,
-    OrderLoad,
-    OrderRecall,
-    OrderUnload,
+    LoadCommand,
+    RecallCommand,
+    UnloadCommand,
 )
 from sardinequay_core.membership import Member
 from sardinequay_core.names import PoolName
@@ -33,7 +33,7 @@
     """Event: an order to load came to its end."""
 
     pool: PoolName
-    order: OrderLoad
+    order: LoadCommand
     took: timedelta
     error: TargetError | None
 
@@ -43,7 +43,7 @@
     """Event: an order to evict came to its end."""
 
     pool: PoolName
-    order: OrderUnload
+    order: UnloadCommand
     error: TargetError | None
 
 
@@ -52,7 +52,7 @@
     """Event: a holder answered a recall."""
 
     pool: PoolName
-    order: OrderRecall
+    order: RecallCommand
     answer: Recalled
 
 
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -19,12 +19,12 @@
 from sardinequay_core.kept_engine import (
     Command,
     KeeperPolicy,
-    OrderLoad,
-    OrderRecall,
-    OrderUnload,
+    LoadCommand,
+    RecallCommand,
+    UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, Use
-from sardinequay_core.load_queue import GiveUp, LoadPolicy
+from sardinequay_core.leases import HolderId, AdapterUse
+from sardinequay_core.load_queue import RejectWaiter, LoadPolicy
 from sardinequay_core.membership import Member
 from sardinequay_core.names import (
     AdapterRef,
@@ -177,16 +177,16 @@
             keeper = Keeper(policy, suffix, self.clock.monotonic())
             kept = self.kept[pool.name] = Kept(keeper, {}, {})
             log.info("keepership taken", extra={"pool": pool.name})
-        kept.keeper.queue.policy = self.policy(pool, share).loads
+        kept.keeper.queue.policy = self.policy(pool, share).load_policy
         kept.keeper.set_targets(local)
 
     def policy(self, pool: PoolSettings, share: float) -> KeeperPolicy:
         """Return a keeper's policy; the store's rate is shared by engines."""
         return KeeperPolicy(
-            lease=timedelta(seconds=self.timing.lease_s),
+            lease_duration=timedelta(seconds=self.timing.lease_s),
             longest_request=timedelta(seconds=self.limits.longest_request_s),
             report_lag=timedelta(seconds=self.timing.report_lag_s),
-            loads=LoadPolicy(
+            load_policy=LoadPolicy(
                 loads_per_s=pool.loads_per_s * share,
                 burst=LOAD_BURST,
                 stall_weight=pool.weights.load_stalls,
@@ -224,7 +224,7 @@
         if isinstance(message, Want):
             self.want(kept, envelope, message, now)
         elif isinstance(message, GiveBack):
-            kept.keeper.give_back(message.holder, message.use, message.sequence)
+            kept.keeper.handle_lease_return(message.holder, message.use, message.sequence)
             envelope.answer(Taken())
         else:
             kept.addresses[message.holder] = parse_address(message.address).unwrap()
@@ -233,13 +233,13 @@
 
     def grant(
         self, keeper: Keeper, message: Acquire | Renew, now: Instant
-    ) -> list[tuple[Use, timedelta]]:
+    ) -> list[tuple[AdapterUse, timedelta]]:
         """Grant or renew leases."""
         if isinstance(message, Renew):
-            return keeper.renew(message.holder, message.uses, message.sequence, now)
-        return keeper.acquire(message.holder, message.adapter, message.sequence, now)
+            return keeper.handle_renew(message.holder, message.uses, message.sequence, now)
+        return keeper.handle_acquire(message.holder, message.adapter, message.sequence, now)
 
-    def granted(self, keeper: Keeper, uses: list[tuple[Use, timedelta]]) -> Granted:
+    def granted(self, keeper: Keeper, uses: list[tuple[AdapterUse, timedelta]]) -> Granted:
         """Return leases with the reported load of their engines."""
         loads = []
         for target in sorted({use.target for use, _ in uses}):
@@ -253,7 +253,7 @@
         """Queue a request for a cold adapter, or give it up at once."""
         ticket = next(self.numbers)
         deadline = now + timedelta(seconds=message.wait_s)
-        given_up = kept.keeper.want(ticket, message.adapter, deadline, now)
+        given_up = kept.keeper.handle_load_request(ticket, message.adapter, deadline, now)
         if given_up is not None:
             wait_s = given_up.retry_after.total_seconds()
             envelope.answer(Wanted(False, wait_s))
@@ -268,20 +268,20 @@
     def forget(self, kept: Kept, ticket: int, adapter: AdapterRef) -> None:
         """Forget a ticket that was answered or whose holder is gone."""
         if kept.tickets.pop(ticket, None) is not None:
-            kept.keeper.queue.cancel(ticket, adapter)
+            kept.keeper.queue.cancel_request(ticket, adapter)
 
     def handle_event(self, kept: Kept, event: Any) -> None:
         """Take what engines and holders answered."""
         now = self.clock.monotonic()
         if isinstance(event, ReportArrived):
-            kept.keeper.take_report(event.report, event.asked_at, now)
+            kept.keeper.handle_report(event.report, event.asked_at, now)
         elif isinstance(event, LoadEnded):
             self.load_ended(kept, event, now)
         elif isinstance(event, UnloadEnded):
             self.unload_ended(kept, event, now)
         elif isinstance(event, RecallEnded) and event.answer.in_flight == 0:
             order = event.order
-            kept.keeper.give_back(order.holder, order.use, event.answer.sequence)
+            kept.keeper.handle_lease_return(order.holder, order.use, event.answer.sequence)
         self.act(kept, event.pool)
 
     def load_ended(self, kept: Kept, event: LoadEnded, now: Instant) -> None:
@@ -297,13 +297,13 @@
             took_s=event.took.total_seconds(),
         )
         if event.error is None:
-            self.answer_loaded(kept, kept.keeper.load_done(use, event.took, now))
+            self.answer_loaded(kept, kept.keeper.handle_load_done(use, event.took, now))
             return
         log.warning("load failed", extra={"use": str(use), "error": str(event.error)})
         if event.error.fault is TargetFault.STALE_TOKEN:
-            kept.keeper.superseded(use.target, now)
+            kept.keeper.handle_superseded(use.target, now)
         else:
-            kept.keeper.load_failed(use, now)
+            kept.keeper.handle_load_failed(use, now)
 
     def answer_loaded(self, kept: Kept, tickets: tuple[int, ...]) -> None:
         """Wake the requests that waited for a load."""
@@ -320,11 +320,11 @@
         subject = order_id("evict", event.order.token)
         self.journal.note(subject, result, adapter=str(use.adapter), engine=use.target)
         if event.error is None:
-            kept.keeper.unload_done(use, now)
+            kept.keeper.handle_unload_done(use, now)
         elif event.error.fault is TargetFault.STALE_TOKEN:
-            kept.keeper.superseded(use.target, now)
+            kept.keeper.handle_superseded(use.target, now)
         else:
-            kept.keeper.unload_failed(use)
+            kept.keeper.handle_unload_failed(use)
 
     # What the core decides, carried out.
 
@@ -340,23 +340,23 @@
 
     def carry_out(self, kept: Kept, pool: PoolName, command: Command) -> None:
         """Carry out one command."""
-        if isinstance(command, GiveUp):
+        if isinstance(command, RejectWaiter):
             envelope = kept.tickets.pop(command.ticket, None)
             if envelope is not None:
                 wait_s = command.retry_after.total_seconds()
                 envelope.answer(Wanted(False, wait_s))
             return
         target = kept.keeper.engines[command.use.target].target
-        if isinstance(command, OrderLoad):
+        if isinstance(command, LoadCommand):
             self.note_load(kept, command)
             self.start(self.load(pool, target, command))
-        elif isinstance(command, OrderUnload):
+        elif isinstance(command, UnloadCommand):
             self.note_unload(kept, command)
             self.start(self.unload(pool, target, command))
         else:
             self.start(self.recall(kept, pool, command))
 
-    def note_load(self, kept: Kept, order: OrderLoad) -> None:
+    def note_load(self, kept: Kept, order: LoadCommand) -> None:
         """Note why a load was ordered."""
         adapter, now = order.use.adapter, self.clock.monotonic()
         queue = kept.keeper.queue
@@ -369,10 +369,10 @@
             waiting_requests=len(waiting.deadlines) if waiting else 0,
             demand=round(queue.demand.value(adapter, now), 3),
             priority=round(queue.priority(adapter, now), 3),
-            others_waiting=[str(a) for a in queue.order(now)[:5] if a != adapter],
+            others_waiting=[str(a) for a in queue.loadable_adapters(now)[:5] if a != adapter],
         )
 
-    def note_unload(self, kept: Kept, order: OrderUnload) -> None:
+    def note_unload(self, kept: Kept, order: UnloadCommand) -> None:
         """Note why an eviction was ordered."""
         queue, now = kept.keeper.queue, self.clock.monotonic()
         self.journal.note(
@@ -384,19 +384,19 @@
             leases="none can still be used",
         )
 
-    async def load(self, pool: PoolName, target: Target, order: OrderLoad) -> None:
+    async def load(self, pool: PoolName, target: Target, order: LoadCommand) -> None:
         """Order a load and wait for its end."""
         began = self.clock.monotonic()
         result = await self.engines.load(target, order.use, order.token)
         took = self.clock.monotonic() - began
         self.inbox.tell(LoadEnded(pool, order, took, error_of(result)))
 
-    async def unload(self, pool: PoolName, target: Target, order: OrderUnload) -> None:
+    async def unload(self, pool: PoolName, target: Target, order: UnloadCommand) -> None:
         """Order an eviction and wait for its end."""
         result = await self.engines.unload(target, order.use, order.token)
         self.inbox.tell(UnloadEnded(pool, order, error_of(result)))
 
-    async def recall(self, kept: Kept, pool: PoolName, order: OrderRecall) -> None:
+    async def recall(self, kept: Kept, pool: PoolName, order: RecallCommand) -> None:
         """Ask a holder to stop; a silent one's lease runs out."""
         address = kept.addresses.get(order.holder)
         if address is None:
--- a/packages/daemon/src/sardinequay_daemon/lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/lease_task.py
@@ -13,7 +13,7 @@
 from returns.result import Failure, Result, Success
 
 from sardinequay_core.clock import Clock, Instant
-from sardinequay_core.leases import HolderId, LeaseTable, Use
+from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
 from sardinequay_core.membership import Member
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run
@@ -88,10 +88,10 @@
         """Take the list; targets that leave get no new work from now on."""
         self.roster = roster
         self.targets = {t.target_id: t for t in roster.targets}
-        for use, _ in self.table.held():
+        for use, _ in self.table.held_leases():
             target = self.targets.get(use.target)
             if target is None or target.presence is Presence.LEAVING:
-                self.table.recall(use)
+                self.table.handle_recall(use)
 
     def take_members(self, members: tuple[Member, ...]) -> None:
         """Take who is alive in this data centre."""
@@ -99,17 +99,17 @@
 
     # Choosing a lease for one request.
 
-    def best(self, adapter: AdapterRef) -> Use | None:
+    def best(self, adapter: AdapterRef) -> AdapterUse | None:
         """Return the usable lease on the least busy engine."""
         now = self.clock.monotonic()
         usable = [
             use
-            for use in self.table.usable(adapter, now)
+            for use in self.table.usable_uses(adapter, now)
             if self.avoided_targets.get(use.target, now) <= now
         ]
         return min(usable, key=self.busyness, default=None)
 
-    def busyness(self, use: Use) -> tuple[int, int, Use]:
+    def busyness(self, use: AdapterUse) -> tuple[int, int, AdapterUse]:
         """Return how busy an engine is, by its last report and our own requests."""
         load = self.loads.get(use.target)
         held = self.table.leases[use]
@@ -122,7 +122,7 @@
 
     async def obtain(
         self, pool: PoolName, adapter: AdapterRef, deadline: Instant
-    ) -> Result[Use, Refusal]:
+    ) -> Result[AdapterUse, Refusal]:
         """Return a usable lease, waiting for a load if need be."""
         began = self.clock.monotonic()
         while True:
@@ -174,7 +174,7 @@
         """Take leases, each counted from before it was asked for."""
         for grant in granted.uses:
             until = asked_at + timedelta(seconds=grant.lasts_s)
-            self.table.grant(grant.use, until, sequence)
+            self.table.record_grant(grant.use, until, sequence)
         for load in granted.loads:
             self.loads[load.target] = load
 
@@ -257,15 +257,15 @@
 
     # Keeping and returning leases.
 
-    def keepership_of(self, use: Use) -> Keepership | None:
+    def keepership_of(self, use: AdapterUse) -> Keepership | None:
         """Return who keeps the engine of a use."""
         target = self.targets.get(use.target)
         return Keepership(target.pool, target.data_centre) if target else None
 
     async def renew_all(self) -> None:
         """Renew all leases, one message to each keeper."""
-        self.table.expire(self.clock.monotonic())
-        held = [(k, u, n) for u, n in self.table.held() if (k := self.keepership_of(u))]
+        self.table.expire_idle(self.clock.monotonic())
+        held = [(k, u, n) for u, n in self.table.held_leases() if (k := self.keepership_of(u))]
         held.sort(key=lambda item: (item[0].pool, item[0].data_centre))
         asks = [
             self.renew(keepership, [(use, count) for _, use, count in group])
@@ -273,7 +273,7 @@
         ]
         await asyncio.gather(*asks)
 
-    async def renew(self, keepership: Keepership, uses: list[tuple[Use, int]]) -> None:
+    async def renew(self, keepership: Keepership, uses: list[tuple[AdapterUse, int]]) -> None:
         """Renew leases with one keeper; what it does not renew is recalled."""
         sequence = self.table.next_sequence()
         asked_at = self.clock.monotonic()
@@ -285,24 +285,24 @@
         self.take_granted(answer, asked_at, sequence)
         renewed = {grant.use for grant in answer.uses}
         for use, _ in uses:
-            if use not in renewed and not self.table.recall(use):
+            if use not in renewed and not self.table.handle_recall(use):
                 self.give_back(use)
 
     async def answer_recall(self, message: Recall) -> Recalled:
         """Stop using an adapter on an engine because its keeper asks."""
-        in_flight = self.table.recall(message.use)
+        in_flight = self.table.handle_recall(message.use)
         return Recalled(in_flight, self.table.next_sequence())
 
-    def begin(self, use: Use) -> bool:
+    def begin(self, use: AdapterUse) -> bool:
         """Count a request in, right before its bytes leave."""
-        return self.table.begin(use, self.clock.monotonic())
+        return self.table.begin_request(use, self.clock.monotonic())
 
-    def end(self, use: Use) -> None:
+    def end(self, use: AdapterUse) -> None:
         """Count a request out, and return the lease if it was recalled."""
-        if self.table.end(use):
+        if self.table.end_request(use):
             self.give_back(use)
 
-    def give_back(self, use: Use) -> None:
+    def give_back(self, use: AdapterUse) -> None:
         """Tell the keeper that a lease is returned, without waiting."""
         keepership = self.keepership_of(use)
         if keepership is None:
@@ -319,8 +319,8 @@
 
     async def give_back_all(self) -> None:
         """Return every lease that no request runs on, when the host stops."""
-        for use, in_flight in self.table.held():
+        for use, in_flight in self.table.held_leases():
             if not in_flight:
-                self.table.drop(use)
+                self.table.return_lease(use)
                 self.give_back(use)
         await asyncio.gather(*self.sending)
--- a/packages/daemon/src/sardinequay_daemon/messages.py
+++ b/packages/daemon/src/sardinequay_daemon/messages.py
@@ -15,7 +15,7 @@
     ViewQuery,
     ViewReply,
 )
-from sardinequay_core.leases import HolderId, Use
+from sardinequay_core.leases import HolderId, AdapterUse
 from sardinequay_core.membership import Member
 from sardinequay_core.names import AdapterRef, DataCentre, Digest, PoolName, TargetId
 from sardinequay_core.roster import Roster
@@ -120,7 +120,7 @@
 class GrantedUse:
     """One lease and how long it lasts from when it was granted, in seconds."""
 
-    use: Use
+    use: AdapterUse
     lasts_s: float
 
 
@@ -142,7 +142,7 @@
     keepership: Keepership
     holder: HolderId
     address: str
-    uses: tuple[tuple[Use, int], ...]
+    uses: tuple[tuple[AdapterUse, int], ...]
     sequence: int
 
 
@@ -160,7 +160,7 @@
 
     keepership: Keepership
     holder: HolderId
-    use: Use
+    use: AdapterUse
     sequence: int
 
 
@@ -191,7 +191,7 @@
 class Recall:
     """A keeper asks a holder to stop using an adapter on an engine."""
 
-    use: Use
+    use: AdapterUse
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/lab/src/sardinequay_lab/lease_model.py
+++ b/packages/lab/src/sardinequay_lab/lease_model.py
@@ -40,7 +40,7 @@
             actions += [("tick", name), ("report", name), ("acquire", "h1", name, X)]
             if name not in self.wanted:
                 actions.append(("want", name, Y))
-        if self.holders["h1"].usable(ADAPTERS[X], self.now) and not self.began:
+        if self.holders["h1"].usable_uses(ADAPTERS[X], self.now) and not self.began:
             actions.append(("begin", "h1", X))
         if self.waits:
             actions.append(("wait", STEP_S))
--- a/packages/lab/src/sardinequay_lab/lease_mutations.py
+++ b/packages/lab/src/sardinequay_lab/lease_mutations.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.clock import Instant
 from sardinequay_core.keeper import Keeper
-from sardinequay_core.leases import HolderId, LeaseTable, Use
+from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
 
 from .exploration import Mutations
 from .lease_world import POLICY
@@ -21,21 +21,21 @@
     def is_over(keeper: Keeper, kept: Any, end: Instant, now: Instant) -> bool:
         return now >= end
 
-    with patch.object(Keeper, "is_over", is_over):
+    with patch.object(Keeper, "are_requests_over", is_over):
         yield
 
 
 @contextmanager
 def without_wait_out() -> Iterator[None]:
     """Let a new keeper evict as if nobody had granted anything before."""
-    load_done = Keeper.load_done
+    load_done = Keeper.handle_load_done
 
-    def hasty(keeper: Keeper, use: Use, took: timedelta, now: Instant) -> Any:
+    def hasty(keeper: Keeper, use: AdapterUse, took: timedelta, now: Instant) -> Any:
         tickets = load_done(keeper, use, took, now)
-        keeper.engines[use.target].foreign_until = timedelta(0)
+        keeper.engines[use.target].foreign_leases_until = timedelta(0)
         return tickets
 
-    with patch.object(Keeper, "load_done", hasty):
+    with patch.object(Keeper, "handle_load_done", hasty):
         yield
 
 
@@ -44,16 +44,16 @@
     """Let a keeper grant however long ago it was confirmed."""
 
     def grant(
-        keeper: Keeper, kept: Any, use: Use, holder: HolderId, sequence: int
+        keeper: Keeper, kept: Any, use: AdapterUse, holder: HolderId, sequence: int
     ) -> None:
         kept.confirmed_at = max(kept.confirmed_at or timedelta(0), kept.reported_at)
         original(keeper, kept, use, holder, sequence)
 
-    original = Keeper.grant
+    original = Keeper.grant_lease
     with (
-        patch.object(Keeper, "grant", grant),
-        patch.object(Keeper, "may_grant", lambda *_: True),
-        patch.object(Keeper, "remaining", lambda *_: POLICY.lease),
+        patch.object(Keeper, "grant_lease", grant),
+        patch.object(Keeper, "can_grant", lambda *_: True),
+        patch.object(Keeper, "remaining_lease", lambda *_: POLICY.lease_duration),
     ):
         yield
 
@@ -61,13 +61,13 @@
 @contextmanager
 def without_recall_order() -> Iterator[None]:
     """Take grants that answer messages older than a return."""
-    drop = LeaseTable.drop
+    drop = LeaseTable.return_lease
 
-    def forgetful(table: LeaseTable, use: Use) -> None:
+    def forgetful(table: LeaseTable, use: AdapterUse) -> None:
         drop(table, use)
-        table.returned.clear()
+        table.returned_at_sequence.clear()
 
-    with patch.object(LeaseTable, "drop", forgetful):
+    with patch.object(LeaseTable, "return_lease", forgetful):
         yield
 
 
--- a/packages/lab/src/sardinequay_lab/lease_world.py
+++ b/packages/lab/src/sardinequay_lab/lease_world.py
@@ -15,11 +15,11 @@
 from sardinequay_core.kept_engine import (
     EngineReport,
     KeeperPolicy,
-    OrderLoad,
-    OrderRecall,
-    OrderUnload,
+    LoadCommand,
+    RecallCommand,
+    UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, LeaseTable, Use
+from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
 from sardinequay_core.load_queue import LoadPolicy
 from sardinequay_core.names import (
     AdapterRef,
@@ -37,12 +37,12 @@
 LONGEST = seconds(6)
 LAG = seconds(1)
 POLICY = KeeperPolicy(
-    lease=seconds(4),
+    lease_duration=seconds(4),
     longest_request=LONGEST,
     report_lag=LAG,
-    silent_after=seconds(30),
-    loads=LoadPolicy(
-        loads_per_s=10, burst=5, load_time=seconds(0.1), backoff=seconds(0.2)
+    report_timeout=seconds(30),
+    load_policy=LoadPolicy(
+        loads_per_s=10, burst=5, load_time=seconds(0.1), initial_backoff=seconds(0.2)
     ),
 )
 SLOTS = 2
@@ -84,7 +84,7 @@
 class Running:
     """A request on the engine."""
 
-    use: Use
+    use: AdapterUse
     holder: str
     table: LeaseTable
     ends_by: Instant
@@ -135,7 +135,7 @@
             Address("127.0.0.1", 1),
             checks_fencing=checks_fencing,
         )
-        self.policy = replace(POLICY, trusts_reports=random.random() < 0.5)
+        self.policy = replace(POLICY, are_reports_trusted=random.random() < 0.5)
         self.reports: list[tuple[Instant, EngineReport]] = []
         self.keepers = {"k1": self.appointed()}
         self.holders = {name: LeaseTable() for name in HOLDERS}
@@ -171,7 +171,7 @@
             for name in self.keepers:
                 actions.append(("renew", holder, name))
                 actions += [("acquire", holder, name, n) for n in range(len(ADAPTERS))]
-            usable = [n for n, a in enumerate(ADAPTERS) if table.usable(a, self.now)]
+            usable = [n for n, a in enumerate(ADAPTERS) if table.usable_uses(a, self.now)]
             actions += [("begin", holder, n) for n in usable]
         actions += [("end", n) for n in range(len(self.engine.running))]
         return actions
@@ -199,11 +199,11 @@
         """Let a keeper decide, however long it slept."""
         keeper = self.keepers[name]
         for command in keeper.tick(self.now):
-            if isinstance(command, OrderLoad):
+            if isinstance(command, LoadCommand):
                 self.send(Packet("load", command, keeper, asked_at=self.now))
-            elif isinstance(command, OrderUnload):
+            elif isinstance(command, UnloadCommand):
                 self.send(Packet("unload", command, keeper, asked_at=self.now))
-            elif isinstance(command, OrderRecall):
+            elif isinstance(command, RecallCommand):
                 self.send(Packet("recall", command, keeper, command.holder))
 
     def do_report(self, name: str) -> None:
@@ -214,7 +214,7 @@
         """Have somebody wait for an adapter at a keeper."""
         self.tickets += 1
         deadline = self.now + seconds(60)
-        self.keepers[name].want(self.tickets, ADAPTERS[number], deadline, self.now)
+        self.keepers[name].handle_load_request(self.tickets, ADAPTERS[number], deadline, self.now)
 
     def do_acquire(self, holder: str, name: str, number: int) -> None:
         """Have a holder ask for leases."""
@@ -226,21 +226,21 @@
     def do_renew(self, holder: str, name: str) -> None:
         """Have a holder renew what it holds."""
         table = self.holders[holder]
-        table.expire(self.now)
-        packet = Packet("renew", tuple(table.held()), self.keepers[name], holder)
+        table.expire_idle(self.now)
+        packet = Packet("renew", tuple(table.held_leases()), self.keepers[name], holder)
         packet.sequence, packet.asked_at = table.next_sequence(), self.now
         self.send(packet)
 
     def do_begin(self, holder: str, number: int) -> None:
         """Dispatch a request: the lease is checked as its bytes leave."""
         table = self.holders[holder]
-        use = Use(ADAPTERS[number], ENGINE)
-        if not table.begin(use, self.now):
+        use = AdapterUse(ADAPTERS[number], ENGINE)
+        if not table.begin_request(use, self.now):
             return
         if use.adapter not in self.engine.resident:
             self.notes["not loaded"] += 1
-            table.end(use)
-            table.drop(use)
+            table.end_request(use)
+            table.return_lease(use)
             return
         self.notes["ran"] += 1
         running = Running(use, holder, table, self.now + LONGEST)
@@ -253,10 +253,10 @@
     def finish(self, running: Running) -> None:
         """Take a request off the engine and off its lease."""
         self.engine.running.remove(running)
-        if running.table.end(running.use):
+        if running.table.end_request(running.use):
             self.tell_return(running.use, running.holder, running.table)
 
-    def tell_return(self, use: Use, holder: str, table: LeaseTable) -> None:
+    def tell_return(self, use: AdapterUse, holder: str, table: LeaseTable) -> None:
         """Have a holder tell every keeper that it returns a lease."""
         for keeper in self.keepers.values():
             packet = Packet("give back", use, keeper, holder)
@@ -293,9 +293,9 @@
         if packet.timed_out:
             return
         if packet.kind in ("load", "loaded"):
-            packet.keeper.load_failed(packet.message.use, self.now)
+            packet.keeper.handle_load_failed(packet.message.use, self.now)
         elif packet.kind in ("unload", "unloaded"):
-            packet.keeper.unload_failed(packet.message.use)
+            packet.keeper.handle_unload_failed(packet.message.use)
 
     def do_drop(self, index: int) -> None:
         """Lose a message."""
@@ -334,7 +334,7 @@
 
     def take_reported(self, packet: Packet) -> None:
         """Let a keeper take a report."""
-        packet.keeper.take_report(packet.message, packet.asked_at, self.now)
+        packet.keeper.handle_report(packet.message, packet.asked_at, self.now)
 
     def take_load(self, packet: Packet) -> None:
         """Let the engine obey an order to load."""
@@ -353,7 +353,7 @@
         """Let a keeper take the end of a load."""
         if not packet.timed_out:
             took = self.now - packet.asked_at
-            packet.keeper.load_done(packet.message.use, took, self.now)
+            packet.keeper.handle_load_done(packet.message.use, took, self.now)
 
     def take_unload(self, packet: Packet) -> None:
         """Let the engine obey an order to evict; in use, that breaks the promise."""
@@ -371,23 +371,23 @@
     def take_unloaded(self, packet: Packet) -> None:
         """Let a keeper take the end of an eviction."""
         if not packet.timed_out:
-            packet.keeper.unload_done(packet.message.use, self.now)
+            packet.keeper.handle_unload_done(packet.message.use, self.now)
 
     def take_refused(self, packet: Packet) -> None:
         """Let a keeper learn that its token is old."""
         self.notes["old token refused"] += 1
-        packet.keeper.superseded(ENGINE, self.now)
+        packet.keeper.handle_superseded(ENGINE, self.now)
 
     def take_acquire(self, packet: Packet) -> None:
         """Let a keeper grant."""
-        granted = packet.keeper.acquire(
+        granted = packet.keeper.handle_acquire(
             HolderId(packet.holder), packet.message, packet.sequence, self.now
         )
         self.reply("granted", packet, (granted, ()))
 
     def take_renew(self, packet: Packet) -> None:
         """Let a keeper renew."""
-        renewed = packet.keeper.renew(
+        renewed = packet.keeper.handle_renew(
             HolderId(packet.holder), packet.message, packet.sequence, self.now
         )
         self.reply("granted", packet, (renewed, packet.message))
@@ -399,17 +399,17 @@
             return
         granted, asked = packet.message
         for use, lasts in granted:
-            table.grant(use, packet.asked_at + lasts, packet.sequence)
+            table.record_grant(use, packet.asked_at + lasts, packet.sequence)
         kept = {use for use, _ in granted}
         for use, _ in asked:
-            if use not in kept and not table.recall(use):
+            if use not in kept and not table.handle_recall(use):
                 self.tell_return(use, packet.holder, table)
 
     def take_recall(self, packet: Packet) -> None:
         """Let a holder stop, and say what still runs."""
         table = self.holders.get(packet.holder)
         if table is not None:
-            in_flight = table.recall(packet.message.use)
+            in_flight = table.handle_recall(packet.message.use)
             packet.sequence = table.next_sequence()
             self.reply("recalled", packet, (packet.message.use, in_flight))
 
@@ -417,9 +417,9 @@
         """Let a keeper take a lease back that nothing runs on."""
         use, in_flight = packet.message
         if not in_flight:
-            packet.keeper.give_back(HolderId(packet.holder), use, packet.sequence)
+            packet.keeper.handle_lease_return(HolderId(packet.holder), use, packet.sequence)
 
     def take_give_back(self, packet: Packet) -> None:
         """Let a keeper take a lease back."""
         holder = HolderId(packet.holder)
-        packet.keeper.give_back(holder, packet.message, packet.sequence)
+        packet.keeper.handle_lease_return(holder, packet.message, packet.sequence)
--- a/packages/lab/src/sardinequay_lab/placement_policies.py
+++ b/packages/lab/src/sardinequay_lab/placement_policies.py
@@ -9,12 +9,12 @@
 from sardinequay_core.kept_engine import (
     EngineReport,
     KeeperPolicy,
-    OrderLoad,
-    OrderRecall,
-    OrderUnload,
+    LoadCommand,
+    RecallCommand,
+    UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, Use
-from sardinequay_core.load_queue import GiveUp, LoadPolicy
+from sardinequay_core.leases import HolderId, AdapterUse
+from sardinequay_core.load_queue import RejectWaiter, LoadPolicy
 from sardinequay_core.names import (
     AdapterRef,
     Address,
@@ -172,9 +172,9 @@
                 batch_weight=batch_weight,
             )
             policy = KeeperPolicy(
-                lease=seconds(10),
+                lease_duration=seconds(10),
                 longest_request=seconds(sim.scenario.deadline_s * 2),
-                loads=loads,
+                load_policy=loads,
             )
             self.sides[name] = KeeperSide(sim, name, policy)
 
@@ -198,7 +198,7 @@
             return
         job.stalled = True
         deadline = seconds(1000 + job.deadline_s)
-        given_up = side.keeper.want(job.number, job.adapter, deadline, self.now())
+        given_up = side.keeper.handle_load_request(job.number, job.adapter, deadline, self.now())
         if given_up is not None:
             self.sim.finish(job, "refused")
             return
@@ -208,7 +208,7 @@
     def submit(self, side: KeeperSide, job: Job) -> bool:
         """Put a request on the least busy engine with a lease, if there is one."""
         self.sequence += 1
-        granted = side.keeper.acquire(HOLDER, job.adapter, self.sequence, self.now())
+        granted = side.keeper.handle_acquire(HOLDER, job.adapter, self.sequence, self.now())
         if not granted:
             return False
         engines = [side.engines[use.target] for use, _ in granted]
@@ -218,13 +218,13 @@
     def loaded(self, engine: EngineSim, adapter: AdapterRef, ok: bool) -> None:
         """Tell the keeper, and submit those who waited."""
         side = self.sides[engine.data_centre]
-        use = Use(adapter, TargetId(engine.name))
+        use = AdapterUse(adapter, TargetId(engine.name))
         if not ok:
-            side.keeper.load_failed(use, self.now())
+            side.keeper.handle_load_failed(use, self.now())
             self.act(side)
             return
         took = seconds(1 / self.sim.scenario.loads_per_s)
-        for ticket in side.keeper.load_done(use, took, self.now()):
+        for ticket in side.keeper.handle_load_done(use, took, self.now()):
             job = side.waiting.pop(ticket, None)
             if job is not None and not self.submit(side, job):
                 self.arrive(job)
@@ -235,12 +235,12 @@
         side = self.sides[engine.data_centre]
         kept = side.keeper.engines[TargetId(engine.name)]
         if job.adapter in kept.draining and not engine.uses(job.adapter):
-            self.give_back(side, Use(job.adapter, TargetId(engine.name)))
+            self.give_back(side, AdapterUse(job.adapter, TargetId(engine.name)))
 
-    def give_back(self, side: KeeperSide, use: Use) -> None:
+    def give_back(self, side: KeeperSide, use: AdapterUse) -> None:
         """Return a lease."""
         self.sequence += 1
-        side.keeper.give_back(HOLDER, use, self.sequence)
+        side.keeper.handle_lease_return(HOLDER, use, self.sequence)
         self.act(side)
 
     def tick(self) -> None:
@@ -266,26 +266,26 @@
                 len(engine.queue),
                 tuple(sorted(in_use)),
             )
-            side.keeper.take_report(report, self.now(), self.now())
+            side.keeper.handle_report(report, self.now(), self.now())
 
     def act(self, side: KeeperSide) -> None:
         """Carry out what a keeper decides."""
         for command in side.keeper.tick(self.now()):
-            if isinstance(command, GiveUp):
+            if isinstance(command, RejectWaiter):
                 job = side.waiting.pop(command.ticket, None)
                 if job is not None:
                     self.sim.finish(job, "refused")
                 continue
             engine = side.engines[command.use.target]
-            if isinstance(command, OrderLoad):
+            if isinstance(command, LoadCommand):
                 self.load(engine, command)
-            elif isinstance(command, OrderUnload):
+            elif isinstance(command, UnloadCommand):
                 self.sim.evict(engine, command.use.adapter)
-                side.keeper.unload_done(command.use, self.now())
-            elif isinstance(command, OrderRecall):
+                side.keeper.handle_unload_done(command.use, self.now())
+            elif isinstance(command, RecallCommand):
                 self.recall(side, engine, command)
 
-    def load(self, engine: EngineSim, command: OrderLoad) -> None:
+    def load(self, engine: EngineSim, command: LoadCommand) -> None:
         """Order a load; one of an adapter that is there is done at once."""
         if command.use.adapter in engine.resident:
             adapter = command.use.adapter
@@ -293,7 +293,7 @@
         else:
             self.sim.order_load(engine, command.use.adapter)
 
-    def recall(self, side: KeeperSide, engine: EngineSim, command: OrderRecall) -> None:
+    def recall(self, side: KeeperSide, engine: EngineSim, command: RecallCommand) -> None:
         """Answer a recall: return the lease if nothing runs on it."""
         if not engine.uses(command.use.adapter):
             self.sim.after(0.001, lambda: self.give_back(side, command.use))
--- a/packages/lab/src/sardinequay_lab/slopes.py
+++ b/packages/lab/src/sardinequay_lab/slopes.py
@@ -28,8 +28,8 @@
 from sardinequay_core.claims import ClaimPolicy, ClaimRequest, Guard
 from sardinequay_core.clock import seconds
 from sardinequay_core.keeper import Keeper
-from sardinequay_core.kept_engine import EngineReport, KeeperPolicy, OrderLoad
-from sardinequay_core.leases import HolderId, LeaseTable, Use
+from sardinequay_core.kept_engine import EngineReport, KeeperPolicy, LoadCommand
+from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
 from sardinequay_core.load_queue import LoadPolicy
 from sardinequay_core.names import (
     AdapterRef,
@@ -267,7 +267,7 @@
 
 def filled_keeper(engines: int, slots: int, wanted: int) -> Keeper:
     """Return a keeper of full engines, with many adapters wanted before."""
-    policy = KeeperPolicy(loads=LoadPolicy(loads_per_s=1000, burst=10_000))
+    policy = KeeperPolicy(load_policy=LoadPolicy(loads_per_s=1000, burst=10_000))
     keeper = Keeper(policy, 1, NOW)
     names = [f"e{n}" for n in range(engines)]
     keeper.set_targets([target(name) for name in names])
@@ -276,10 +276,10 @@
             AdapterRef(f"r{number * slots + s}", "1") for s in range(slots)
         )
         report = EngineReport(TargetId(name), "1", 0, slots, resident)
-        keeper.take_report(report, NOW, NOW)
+        keeper.handle_report(report, NOW, NOW)
     for command in keeper.tick(NOW):
-        if isinstance(command, OrderLoad):
-            keeper.load_done(command.use, timedelta(0), NOW)
+        if isinstance(command, LoadCommand):
+            keeper.handle_load_done(command.use, timedelta(0), NOW)
     for n in range(wanted):
         keeper.queue.demand.add(AdapterRef(f"w{n}", "1"), NOW)
     return keeper
@@ -293,10 +293,10 @@
     for engines in (5, 26, 130):
         keeper = filled_keeper(engines, 8, 0)
         by_engines.append(
-            (engines, timed(keeper.acquire, holder, R0, 1, NOW, times=500))
+            (engines, timed(keeper.handle_acquire, holder, R0, 1, NOW, times=500))
         )
         for n in range(64):
-            keeper.want(n, AdapterRef(f"c{n}", "1"), NOW + seconds(60), NOW)
+            keeper.handle_load_request(n, AdapterRef(f"c{n}", "1"), NOW + seconds(60), NOW)
         ticks.append((engines, timed(keeper.tick, NOW, times=20)))
     tell("one acquire by engines, microseconds", "us", "engine", by_engines)
     tell("one tick with 64 adapters waited for, microseconds", "us", "engine", ticks)
@@ -306,7 +306,7 @@
         wants.append(
             (
                 adapters,
-                timed(keeper.want, 1, W7, NOW + seconds(60), NOW, times=500),
+                timed(keeper.handle_load_request, 1, W7, NOW + seconds(60), NOW, times=500),
             )
         )
     tell("one placement decision by adapters in demand, us", "us", "adapter", wants)
@@ -318,10 +318,10 @@
     for held in (10, 50, 200):
         table = LeaseTable()
         for n in range(held):
-            use = Use(AdapterRef(f"style-{n:05}", "1"), TargetId("engine-tukwila-1"))
-            table.grant(use, NOW, table.next_sequence())
+            use = AdapterUse(AdapterRef(f"style-{n:05}", "1"), TargetId("engine-tukwila-1"))
+            table.record_grant(use, NOW, table.next_sequence())
         keepership = KeepershipId(PoolName("kiosk-lm"), DataCentre("tukwila"))
-        uses = tuple(table.held())
+        uses = tuple(table.held_leases())
         message = Renew(keepership, HolderId("tukwila-0#1"), "127.0.0.1:1", uses, 1)
         points.append((held, len(encode_frame(frame_of(Kind.REQUEST, 1, message)))))
     tell("one renewal by leases held, bytes", "bytes", "lease", points)
--- a/packages/lab/tests/test_ports.py
+++ b/packages/lab/tests/test_ports.py
@@ -11,7 +11,7 @@
 import pytest
 from aiohttp.test_utils import TestServer
 
-from sardinequay_core.leases import Use
+from sardinequay_core.leases import AdapterUse
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_daemon.engines import EngineRequest, HttpEngines, events_of
@@ -137,8 +137,8 @@
     return HttpEngines(session, session, silence_s=1, order_timeout_s=5)
 
 
-def use(engine: Target, adapter: AdapterRef = X) -> Use:
-    return Use(adapter, engine.target_id)
+def use(engine: Target, adapter: AdapterRef = X) -> AdapterUse:
+    return AdapterUse(adapter, engine.target_id)
 
 
 def request(model: str = "x@1", tokens: int = 5, **more: Any) -> EngineRequest:
