--- a/packages/core/src/sardinequay_core/membership.py
+++ b/packages/core/src/sardinequay_core/membership.py
@@ -20,8 +20,8 @@
 from .clock import Instant
 from .names import Address, HostId
 
-NEWS_PER_MESSAGE = 6
-NEWS_REPEATS = 6
+UPDATES_PER_MESSAGE = 6
+UPDATE_REPEATS = 6
 """How often one piece of news is told; about log2 of the hosts in a data centre."""
 
 
@@ -69,115 +69,115 @@
         How long the dead are remembered, so that old news does not revive them.
     """
 
-    period: timedelta = timedelta(seconds=0.5)
-    suspect_for: timedelta = timedelta(seconds=2)
-    forget_after: timedelta = timedelta(seconds=120)
+    ping_interval: timedelta = timedelta(seconds=0.5)
+    suspicion_timeout: timedelta = timedelta(seconds=2)
+    dead_retention: timedelta = timedelta(seconds=120)
 
 
 @dataclass(slots=True)
-class Known:
+class MemberRecord:
     """A member, since when it is seen so, and how often that was told."""
 
     member: Member
     since: Instant
-    told: int = 0
+    times_sent: int = 0
 
 
 @dataclass(slots=True)
 class Membership:
     """One host's view of its data centre."""
 
-    me: Member
+    self_member: Member
     policy: MembershipPolicy
     random: Shuffler
-    known: dict[HostId, Known] = field(default_factory=dict)
-    turn: list[HostId] = field(default_factory=list)
+    records: dict[HostId, MemberRecord] = field(default_factory=dict)
+    ping_queue: list[HostId] = field(default_factory=list)
 
-    def seed(self, members: Iterable[Member], now: Instant) -> None:
+    def add_listed(self, members: Iterable[Member], now: Instant) -> None:
         """Take hosts from the platform's list that were never heard of."""
         for member in members:
-            if member.host_id != self.me.host_id and member.host_id not in self.known:
-                self.known[member.host_id] = Known(member, now)
+            if member.host_id != self.self_member.host_id and member.host_id not in self.records:
+                self.records[member.host_id] = MemberRecord(member, now)
 
-    def next_ping(self) -> Member | None:
+    def next_ping_target(self) -> Member | None:
         """Return whom to ping now: each known member once in a round, shuffled."""
         while True:
-            if not self.turn:
-                self.turn = sorted(
-                    h for h, k in self.known.items() if k.member.health < Health.DEAD
+            if not self.ping_queue:
+                self.ping_queue = sorted(
+                    h for h, k in self.records.items() if k.member.health < Health.DEAD
                 )
-                self.random.shuffle(self.turn)
-            if not self.turn:
+                self.random.shuffle(self.ping_queue)
+            if not self.ping_queue:
                 return None
-            known = self.known.get(self.turn.pop())
+            known = self.records.get(self.ping_queue.pop())
             if known is not None and known.member.health < Health.DEAD:
                 return known.member
 
-    def news(self) -> tuple[Member, ...]:
+    def updates_to_send(self) -> tuple[Member, ...]:
         """Return what to tell with a message: oneself, and the least told news."""
-        fresh = [k for k in self.known.values() if k.told < NEWS_REPEATS]
-        fresh.sort(key=lambda k: (k.told, k.member.host_id))
-        chosen = fresh[:NEWS_PER_MESSAGE]
+        unsent = [k for k in self.records.values() if k.times_sent < UPDATE_REPEATS]
+        unsent.sort(key=lambda k: (k.times_sent, k.member.host_id))
+        chosen = unsent[:UPDATES_PER_MESSAGE]
         for known in chosen:
-            known.told += 1
-        return (self.me, *(k.member for k in chosen))
+            known.times_sent += 1
+        return (self.self_member, *(k.member for k in chosen))
 
-    def hear(self, news: Iterable[Member], now: Instant) -> None:
+    def handle_updates(self, updates: Iterable[Member], now: Instant) -> None:
         """Take news from a peer."""
-        for member in news:
-            if member.host_id == self.me.host_id:
-                self.refute(member)
+        for member in updates:
+            if member.host_id == self.self_member.host_id:
+                self.refute_update(member)
             else:
-                self.take(member, now)
+                self.apply_update(member, now)
 
-    def refute(self, member: Member) -> None:
+    def refute_update(self, member: Member) -> None:
         """Outbid news that this host is not what it is."""
-        if member.overrides(self.me):
-            self.me = replace(self.me, incarnation=member.incarnation + 1)
+        if member.overrides(self.self_member):
+            self.self_member = replace(self.self_member, incarnation=member.incarnation + 1)
 
-    def take(self, member: Member, now: Instant) -> None:
+    def apply_update(self, member: Member, now: Instant) -> None:
         """Believe later news of a member."""
-        known = self.known.get(member.host_id)
+        known = self.records.get(member.host_id)
         if known is None or member.overrides(known.member):
-            self.known[member.host_id] = Known(member, now)
+            self.records[member.host_id] = MemberRecord(member, now)
 
-    def answered(self, host_id: HostId, now: Instant) -> None:
+    def record_ping_answer(self, host_id: HostId, now: Instant) -> None:
         """Take an answer to a ping; its news has revived the member if need be."""
-        known = self.known.get(host_id)
+        known = self.records.get(host_id)
         if known is not None and known.member.health is Health.SUSPECT:
             self.set_health(known, Health.ALIVE, now)
 
-    def unanswered(self, host_id: HostId, now: Instant) -> None:
+    def record_ping_timeout(self, host_id: HostId, now: Instant) -> None:
         """Take the silence of a pinged member."""
-        known = self.known.get(host_id)
+        known = self.records.get(host_id)
         if known is not None and known.member.health is Health.ALIVE:
             self.set_health(known, Health.SUSPECT, now)
 
-    def tick(self, now: Instant) -> None:
+    def expire_members(self, now: Instant) -> None:
         """Let suspicion become death, and forget the long dead."""
-        for host_id, known in list(self.known.items()):
+        for host_id, known in list(self.records.items()):
             age = now - known.since
             health = known.member.health
-            if health is Health.SUSPECT and age >= self.policy.suspect_for:
+            if health is Health.SUSPECT and age >= self.policy.suspicion_timeout:
                 self.set_health(known, Health.DEAD, now)
-            elif health >= Health.LEAVING and age >= self.policy.forget_after:
-                del self.known[host_id]
+            elif health >= Health.LEAVING and age >= self.policy.dead_retention:
+                del self.records[host_id]
 
-    def set_health(self, known: Known, health: Health, now: Instant) -> None:
+    def set_health(self, known: MemberRecord, health: Health, now: Instant) -> None:
         """See a member otherwise from now on."""
         known.member = replace(known.member, health=health)
         known.since = now
-        known.told = 0
+        known.times_sent = 0
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Tell, from now on, that this host is leaving."""
-        self.me = replace(self.me, health=Health.LEAVING)
+        self.self_member = replace(self.self_member, health=Health.LEAVING)
 
-    def live(self) -> tuple[Member, ...]:
+    def live_members(self) -> tuple[Member, ...]:
         """Return the members to count on, this host included unless it leaves."""
         alive = [
-            k.member for k in self.known.values() if k.member.health <= Health.SUSPECT
+            k.member for k in self.records.values() if k.member.health <= Health.SUSPECT
         ]
-        if self.me.health is Health.ALIVE:
-            alive.append(self.me)
+        if self.self_member.health is Health.ALIVE:
+            alive.append(self.self_member)
         return tuple(sorted(alive, key=lambda m: m.host_id))
--- a/packages/core/src/sardinequay_core/order_lease.py
+++ b/packages/core/src/sardinequay_core/order_lease.py
@@ -16,12 +16,12 @@
 from .clock import ZERO, Instant, seconds
 from .names import HostId
 
-NOBODY = HostId("")
-TOKENS_PER_MOMENT = 16
+NO_HOST = HostId("")
+TOKENS_PER_TICK = 16
 """Room for successions within a tenth of a second; each takes longer than a lease."""
 
-MOMENTS_PER_S = 10
-MOMENTS_PER_REVISION = 1 << 28
+TICKS_PER_S = 10
+TICKS_PER_REVISION = 1 << 28
 """Room for ten months of moments at one revision, so that tokens of a later one are
 higher whatever clocks say. Tokens fit in 64 bits for two billion revisions."""
 
@@ -54,12 +54,12 @@
         longer.
     """
 
-    lease: timedelta = timedelta(seconds=1.0)
-    margin: timedelta = timedelta(seconds=0.15)
-    quiet: timedelta = timedelta(seconds=3.1)
-    remember: timedelta = timedelta(seconds=30)
-    waits: timedelta = timedelta(seconds=0.5)
-    returns: timedelta = timedelta(seconds=1.5)
+    lease_duration: timedelta = timedelta(seconds=1.0)
+    safety_margin: timedelta = timedelta(seconds=0.15)
+    quiet_period: timedelta = timedelta(seconds=3.1)
+    member_retention: timedelta = timedelta(seconds=30)
+    former_holder_wait: timedelta = timedelta(seconds=0.5)
+    restart_grace: timedelta = timedelta(seconds=1.5)
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,10 +125,10 @@
     last_order_age_s: float | None
 
 
-def token_bound(revision: int, wall_s: float) -> int:
+def upper_token_bound(revision: int, wall_s: float) -> int:
     """Return a bound on tokens that were given until a revision and a time of day."""
-    moment = int(wall_s * MOMENTS_PER_S) % MOMENTS_PER_REVISION
-    return ((revision + 1) * MOMENTS_PER_REVISION + moment) * TOKENS_PER_MOMENT
+    tick = int(wall_s * TICKS_PER_S) % TICKS_PER_REVISION
+    return ((revision + 1) * TICKS_PER_REVISION + tick) * TOKENS_PER_TICK
 
 
 @dataclass(slots=True)
@@ -156,72 +156,72 @@
 
     policy: OrderPolicy
     abstains_until: Instant
-    knows_tokens: bool
-    holder: HostId = NOBODY
-    until: Instant = ZERO
+    are_old_tokens_bounded: bool
+    holder: HostId = NO_HOST
+    vote_until: Instant = ZERO
     highest_token: int = 0
-    highest_by: HostId = NOBODY
+    highest_token_holder: HostId = NO_HOST
     quiet_since: dict[HostId, Instant] = field(default_factory=dict)
     is_leaving: bool = False
-    has_stopped: bool = False
-    asked_by: HostId = NOBODY
-    was_held: bool = False
+    has_holder_stopped: bool = False
+    renewing_holder: HostId = NO_HOST
+    was_lease_held: bool = False
 
     def __post_init__(self) -> None:
         """Count a holder that may be forgotten as ordering while votes for it last."""
-        if not self.knows_tokens:
-            self.quiet_since[NOBODY] = self.abstains_until
+        if not self.are_old_tokens_bounded:
+            self.quiet_since[NO_HOST] = self.abstains_until
 
-    def vote(self, ballot: Ballot, now: Instant) -> Vote:
+    def handle_ballot(self, ballot: Ballot, now: Instant) -> Vote:
         """Give the vote, unless another host holds it or may hold it."""
         is_renewal = self.holder == ballot.candidate
-        is_free = is_renewal or (now >= self.until and not self.is_leaving)
+        is_free = is_renewal or (now >= self.vote_until and not self.is_leaving)
         if ballot.is_return:
-            is_free = is_renewal and now < self.until and self.was_held
-        if ballot.is_holder and now < self.abstains_until and not self.asked_by:
-            self.asked_by = ballot.candidate
-        granted = is_free and self.knows_tokens and self.may_vote_for(ballot, now)
+            is_free = is_renewal and now < self.vote_until and self.was_lease_held
+        if ballot.is_holder and now < self.abstains_until and not self.renewing_holder:
+            self.renewing_holder = ballot.candidate
+        granted = is_free and self.are_old_tokens_bounded and self.can_vote_for(ballot, now)
         if granted:
             if self.holder != ballot.candidate:
-                self.note_previous()
+                self.record_previous_holder()
                 self.holder = ballot.candidate
-                self.was_held = False
-            self.was_held = self.was_held or ballot.is_holder
-            self.has_stopped = False
-            self.until = now + self.policy.lease
+                self.was_lease_held = False
+            self.was_lease_held = self.was_lease_held or ballot.is_holder
+            self.has_holder_stopped = False
+            self.vote_until = now + self.policy.lease_duration
         others = self.highest_of_others(ballot)
         if granted and ballot.token > self.highest_token:
             self.highest_token = ballot.token
-            self.highest_by = ballot.candidate
+            self.highest_token_holder = ballot.candidate
         return Vote(
             granted,
             self.holder,
             others,
             self.quiet_s(now, ballot),
-            max(0.0, (self.bound_until(ballot) - now).total_seconds()),
-            (now - self.abstains_until + self.policy.lease).total_seconds(),
+            max(0.0, (self.committed_until(ballot) - now).total_seconds()),
+            (now - self.abstains_until + self.policy.lease_duration).total_seconds(),
             self.is_leaving,
         )
 
-    def bound_until(self, ballot: Ballot) -> Instant:
+    def committed_until(self, ballot: Ballot) -> Instant:
         """Return until when nobody but the candidate can get this host's vote."""
-        waits = self.asked_by == ballot.candidate != NOBODY
-        return self.abstains_until + (self.policy.waits if waits else ZERO)
+        waits = self.renewing_holder == ballot.candidate != NO_HOST
+        return self.abstains_until + (self.policy.former_holder_wait if waits else ZERO)
 
-    def may_vote_for(self, ballot: Ballot, now: Instant) -> bool:
+    def can_vote_for(self, ballot: Ballot, now: Instant) -> bool:
         """Return whether this host abstains no more, or not from this candidate."""
-        if self.asked_by in (NOBODY, ballot.candidate):
+        if self.renewing_holder in (NO_HOST, ballot.candidate):
             return now >= self.abstains_until
-        return now >= self.abstains_until + self.policy.waits
+        return now >= self.abstains_until + self.policy.former_holder_wait
 
     def highest_of_others(self, ballot: Ballot) -> int:
         """Return the highest token that may be another holder's."""
-        is_own = self.highest_by == ballot.candidate
+        is_own = self.highest_token_holder == ballot.candidate
         if is_own and self.highest_token == ballot.token:
             return ballot.token - 1
         return self.highest_token
 
-    def learn_revision(self, revision: int, wall_s: float) -> None:
+    def record_revision(self, revision: int, wall_s: float) -> None:
         """Take a revision of the store that this host has seen since it started.
 
         Tokens grow from the revision and the time of day that voters saw when they
@@ -235,18 +235,18 @@
         wall_s : float
             The time of day, in Unix seconds.
         """
-        if self.knows_tokens:
+        if self.are_old_tokens_bounded:
             return
-        self.knows_tokens = True
-        self.highest_token = max(self.highest_token, token_bound(revision, wall_s))
+        self.are_old_tokens_bounded = True
+        self.highest_token = max(self.highest_token, upper_token_bound(revision, wall_s))
 
-    def note_previous(self) -> None:
+    def record_previous_holder(self) -> None:
         """Remember a holder whose vote ran out: it may have ordered until then."""
-        if self.holder and not self.has_stopped:
-            self.note_quiet(self.holder, self.until)
-        self.has_stopped = False
+        if self.holder and not self.has_holder_stopped:
+            self.record_quiet_since(self.holder, self.vote_until)
+        self.has_holder_stopped = False
 
-    def note_quiet(self, holder: HostId, since: Instant) -> None:
+    def record_quiet_since(self, holder: HostId, since: Instant) -> None:
         """Remember since when a holder has given no order."""
         self.quiet_since[holder] = max(since, self.quiet_since.get(holder, since))
 
@@ -257,26 +257,26 @@
             return float("inf")
         return max(0.0, (now - max(others)).total_seconds())
 
-    def is_promised(self, me: HostId, now: Instant) -> bool:
+    def is_vote_given_elsewhere(self, own_host: HostId, now: Instant) -> bool:
         """Return whether the vote is given to another host than the voter's own."""
-        return self.holder not in (NOBODY, me) and now < self.until
+        return self.holder not in (NO_HOST, own_host) and now < self.vote_until
 
-    def withdraw(self, me: HostId, last_order_at: Instant | None, now: Instant) -> None:
+    def withdraw_own_vote(self, own_host: HostId, last_order_at: Instant | None, now: Instant) -> None:
         """Take back the vote that a host gave itself without winning.
 
         It may have held the lease until now, and nobody else may remember that.
         """
         if last_order_at is not None:
-            self.note_quiet(me, last_order_at)
-        if self.holder == me:
-            self.holder = NOBODY
-            self.until = now
+            self.record_quiet_since(own_host, last_order_at)
+        if self.holder == own_host:
+            self.holder = NO_HOST
+            self.vote_until = now
 
-    def resign(self, message: Resign, now: Instant) -> None:
+    def handle_resign(self, message: Resign, now: Instant) -> None:
         """Keep the vote for a holder that stops only while it may come back."""
         if self.holder != message.holder:
             return
         if message.last_order_age_s is not None:
-            self.note_quiet(self.holder, now - seconds(message.last_order_age_s))
-        self.until = now + self.policy.returns
-        self.has_stopped = True
+            self.record_quiet_since(self.holder, now - seconds(message.last_order_age_s))
+        self.vote_until = now + self.policy.restart_grace
+        self.has_holder_stopped = True
--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -6,7 +6,7 @@
 
 from sardinequay_core.clock import seconds
 from sardinequay_core.membership import (
-    NEWS_REPEATS,
+    UPDATE_REPEATS,
     Health,
     Member,
     Membership,
@@ -15,7 +15,7 @@
 from sardinequay_core.names import Address, HostId
 
 NOW = seconds(100)
-POLICY = MembershipPolicy(suspect_for=seconds(2), forget_after=seconds(60))
+POLICY = MembershipPolicy(suspicion_timeout=seconds(2), dead_retention=seconds(60))
 
 
 def member(name: str, incarnation: int = 1, health: Health = Health.ALIVE) -> Member:
@@ -25,63 +25,63 @@
 @pytest.fixture
 def membership() -> Membership:
     made = Membership(member("me"), POLICY, Random(1))
-    made.seed([member("a"), member("b"), member("me")], NOW)
+    made.add_listed([member("a"), member("b"), member("me")], NOW)
     return made
 
 
 def names(membership: Membership) -> list[str]:
-    return [m.host_id for m in membership.live()]
+    return [m.host_id for m in membership.live_members()]
 
 
 def test_seeded_hosts_count_until_they_are_dead(membership: Membership) -> None:
     assert names(membership) == ["a", "b", "me"]
-    membership.unanswered(HostId("a"), NOW)
-    membership.tick(NOW + seconds(1))
+    membership.record_ping_timeout(HostId("a"), NOW)
+    membership.expire_members(NOW + seconds(1))
     assert "a" in names(membership)
-    membership.tick(NOW + seconds(2))
+    membership.expire_members(NOW + seconds(2))
     assert names(membership) == ["b", "me"]
 
 
 def test_answer_clears_suspicion(membership: Membership) -> None:
-    membership.unanswered(HostId("a"), NOW)
-    membership.answered(HostId("a"), NOW)
-    membership.tick(NOW + seconds(2))
+    membership.record_ping_timeout(HostId("a"), NOW)
+    membership.record_ping_answer(HostId("a"), NOW)
+    membership.expire_members(NOW + seconds(2))
     assert "a" in names(membership)
 
 
 def test_suspected_host_refutes_with_a_higher_incarnation(
     membership: Membership,
 ) -> None:
-    membership.hear([member("me", 1, Health.SUSPECT)], NOW)
-    assert membership.me.incarnation == 2
-    membership.hear([member("a", 1, Health.DEAD)], NOW)
-    membership.hear([member("a", 2)], NOW)
+    membership.handle_updates([member("me", 1, Health.SUSPECT)], NOW)
+    assert membership.self_member.incarnation == 2
+    membership.handle_updates([member("a", 1, Health.DEAD)], NOW)
+    membership.handle_updates([member("a", 2)], NOW)
     assert "a" in names(membership)
 
 
 @pytest.mark.parametrize("health", [Health.SUSPECT, Health.LEAVING, Health.DEAD])
 def test_old_news_revives_nobody(membership: Membership, health: Health) -> None:
-    membership.hear([member("a", 3, health)], NOW)
-    membership.hear([member("a", 2)], NOW)
-    assert membership.known[HostId("a")].member.health is health
+    membership.handle_updates([member("a", 3, health)], NOW)
+    membership.handle_updates([member("a", 2)], NOW)
+    assert membership.records[HostId("a")].member.health is health
 
 
 def test_news_is_told_a_bounded_number_of_times(membership: Membership) -> None:
-    told = [m for _ in range(NEWS_REPEATS + 3) for m in membership.news()[1:]]
-    assert sum(m.host_id == "a" for m in told) == NEWS_REPEATS
+    told = [m for _ in range(UPDATE_REPEATS + 3) for m in membership.updates_to_send()[1:]]
+    assert sum(m.host_id == "a" for m in told) == UPDATE_REPEATS
 
 
 def test_pings_reach_every_member_in_each_round(membership: Membership) -> None:
-    pinged = {membership.next_ping().host_id for _ in range(2)}
+    pinged = {membership.next_ping_target().host_id for _ in range(2)}
     assert pinged == {"a", "b"}
 
 
 def test_leaving_host_does_not_count(membership: Membership) -> None:
-    membership.leave()
+    membership.start_leaving()
     assert names(membership) == ["a", "b"]
 
 
 def test_dead_are_forgotten_in_the_end(membership: Membership) -> None:
-    membership.hear([member("a", 1, Health.DEAD)], NOW)
-    membership.tick(NOW + seconds(61))
-    assert HostId("a") not in membership.known
+    membership.handle_updates([member("a", 1, Health.DEAD)], NOW)
+    membership.expire_members(NOW + seconds(61))
+    assert HostId("a") not in membership.records
--- a/packages/core/tests/test_order_lease.py
+++ b/packages/core/tests/test_order_lease.py
@@ -9,7 +9,7 @@
 
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.names import HostId
-from sardinequay_core.order_candidate import Candidate
+from sardinequay_core.order_candidate import OrderCandidate
 from sardinequay_core.order_lease import OrderPolicy, Voter
 
 POLICY = OrderPolicy()
@@ -39,17 +39,17 @@
         self.overlaps: list[tuple[Instant, tuple[HostId, ...]]] = []
         self.published = 1
         self.voters: dict[HostId, Voter] = {}
-        self.candidates: dict[HostId, Candidate] = {}
+        self.candidates: dict[HostId, OrderCandidate] = {}
         for host in hosts:
             self.start(host, first_start)
 
     def start(self, host: HostId, first_start: bool = False) -> None:
         """Start or restart a host: it forgets everything."""
-        abstains = self.now if first_start else self.now + POLICY.lease
-        self.voters[host] = Voter(POLICY, abstains, knows_tokens=first_start)
+        abstains = self.now if first_start else self.now + POLICY.lease_duration
+        self.voters[host] = Voter(POLICY, abstains, are_old_tokens_bounded=first_start)
         if not first_start:
-            self.voters[host].learn_revision(self.revision, self.wall_s(host))
-        made = Candidate(host, POLICY)
+            self.voters[host].record_revision(self.revision, self.wall_s(host))
+        made = OrderCandidate(host, POLICY)
         made.set_voters(self.hosts)
         self.candidates[host] = made
         self.leaving.pop(host, None)
@@ -61,19 +61,19 @@
             candidate.set_voters(voters)
         self.ask_all(host, is_return)
         candidate.set_voters(voters)
-        if candidate.must_ask_higher(self.now):
+        if candidate.needs_higher_token(self.now):
             self.ask_all(host, is_return)
         if not candidate.is_holder:
-            self.voters[host].withdraw(host, candidate.last_order_at, self.now)
+            self.voters[host].withdraw_own_vote(host, candidate.last_order_at, self.now)
 
     def ask_all(self, host: HostId, is_return: bool) -> None:
         candidate = self.candidates[host]
-        ballot = candidate.ballot("here", is_return)
+        ballot = candidate.build_ballot("here", is_return)
         for voter in self.hosts:
             if frozenset((host, voter)) in self.cut:
                 continue
-            vote = self.voters[voter].vote(ballot, self.now)
-            candidate.take(voter, vote, self.now, self.now)
+            vote = self.voters[voter].handle_ballot(ballot, self.now)
+            candidate.record_vote(voter, vote, self.now, self.now)
 
     def leave(self, host: HostId) -> None:
         """Begin a graceful stop and end it at once."""
@@ -86,20 +86,20 @@
 
     def resign(self, host: HostId) -> None:
         """Give the lease back and tell those that the host reaches."""
-        message = self.candidates[host].resign("here", self.now)
+        message = self.candidates[host].resign_lease("here", self.now)
         for voter in self.hosts:
             if message and frozenset((host, voter)) not in self.cut:
-                self.voters[voter].resign(message, self.now)
+                self.voters[voter].handle_resign(message, self.now)
 
     def votes(self, host: HostId) -> bool:
         since = self.leaving.get(host)
-        return since is None or self.now - since < POLICY.lease
+        return since is None or self.now - since < POLICY.lease_duration
 
     def order(self, host: HostId) -> bool:
         candidate = self.candidates[host]
-        if not candidate.may_order(self.now):
+        if not candidate.can_order(self.now):
             return False
-        candidate.ordered(self.now)
+        candidate.record_order(self.now)
         self.orders.append((self.now, host, candidate.token))
         return True
 
@@ -124,7 +124,7 @@
 
     def holds(self, host: HostId) -> bool:
         candidate = self.candidates[host]
-        candidate.refresh(self.now)
+        candidate.update_holder(self.now)
         return candidate.is_holder
 
 
@@ -146,7 +146,7 @@
 
 def test_holder_stops_before_its_votes_run_out(world: World) -> None:
     world.canvass(HOSTS[0])
-    world.turn((POLICY.lease - POLICY.margin).total_seconds())
+    world.turn((POLICY.lease_duration - POLICY.safety_margin).total_seconds())
     assert not world.order(HOSTS[0])
 
 
@@ -174,7 +174,7 @@
     world.leave(first)
     world.canvass(second)
     assert not world.candidates[second].is_holder
-    world.turn(POLICY.returns.total_seconds())
+    world.turn(POLICY.restart_grace.total_seconds())
     world.canvass(second)
     assert world.candidates[second].is_holder
     assert not world.order(second)
@@ -396,9 +396,9 @@
 ) -> None:
     def excuse(self, voter, vote, asked_at, now):
         if self.is_holder and vote.abstains_s > 0:
-            self.excused[voter] = asked_at + seconds(9)
+            self.uncounted_until[voter] = asked_at + seconds(9)
 
-    monkeypatch.setattr(Candidate, "excuse", excuse)
+    monkeypatch.setattr(OrderCandidate, "stop_counting_if_restarted", excuse)
     assert count_broken(explore_rolls, 3_000)
 
 
@@ -425,9 +425,9 @@
 def test_restarts_find_that_a_revision_alone_bounds_too_little(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    original = Voter.learn_revision
+    original = Voter.record_revision
     monkeypatch.setattr(
-        Voter, "learn_revision", lambda self, r, wall_s: original(self, r, 0.0)
+        Voter, "record_revision", lambda self, r, wall_s: original(self, r, 0.0)
     )
     assert count_broken(explore_restarts, 4_000)
 
@@ -463,24 +463,24 @@
 )
 def test_each_guard_is_needed(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if guard == "abstention":
-        original = Voter.vote
+        original = Voter.handle_ballot
 
         def vote(self, ballot, now):
             self.abstains_until = START
             return original(self, ballot, now)
 
-        monkeypatch.setattr(Voter, "vote", vote)
+        monkeypatch.setattr(Voter, "handle_ballot", vote)
         monkeypatch.setattr(
-            Candidate,
-            "refresh",
+            OrderCandidate,
+            "update_holder",
             lambda self, now: setattr(
-                self, "is_holder", self.valid_votes(now) >= self.quorum(now)
+                self, "is_holder", self.count_valid_votes(now) >= self.quorum(now)
             ),
         )
     elif guard == "quiet":
-        monkeypatch.setattr(Candidate, "may_order", lambda self, now: self.is_holder)
+        monkeypatch.setattr(OrderCandidate, "can_order", lambda self, now: self.is_holder)
     else:
-        monkeypatch.setattr(Candidate, "quorum", lambda self, now: 1)
+        monkeypatch.setattr(OrderCandidate, "quorum", lambda self, now: 1)
     assert count_broken(explore, 400)
 
 
@@ -492,7 +492,7 @@
     assert world.order(first)
     for leaving, successor in ((first, second), (second, third)):
         world.leave(leaving)
-        world.turn(POLICY.returns.total_seconds())
+        world.turn(POLICY.restart_grace.total_seconds())
         world.canvass(successor)
         assert world.candidates[successor].is_holder
         assert not world.order(successor)
--- a/packages/daemon/src/sardinequay_daemon/content_spread.py
+++ b/packages/daemon/src/sardinequay_daemon/content_spread.py
@@ -88,7 +88,7 @@
 
     def others(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
-        me = self.membership.membership.me.address
+        me = self.membership.membership.self_member.address
         here = {m.address for m in self.membership.live.value}
         elsewhere = {h.peer_address for h in self.membership.remote_hosts()}
         return sorted((here | elsewhere) - {me})
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -62,8 +62,8 @@
         heard: Callable[[PeerInForce], None],
     ) -> None:
         policy = MembershipPolicy(
-            period=timedelta(seconds=timing.gossip_s),
-            suspect_for=timedelta(seconds=timing.suspect_s),
+            ping_interval=timedelta(seconds=timing.gossip_s),
+            suspicion_timeout=timedelta(seconds=timing.suspect_s),
         )
         self.membership = Membership(me, policy, random)
         self.data_centre = data_centre
@@ -88,7 +88,7 @@
             for h in local
             if h.presence is Presence.LIVE
         ]
-        self.membership.seed(members, self.clock.monotonic())
+        self.membership.add_listed(members, self.clock.monotonic())
         self.publish()
 
     async def run(self) -> None:
@@ -98,8 +98,8 @@
     async def round(self) -> None:
         """Ping one member of the data centre, and now and then a host elsewhere."""
         self.rounds += 1
-        self.membership.tick(self.clock.monotonic())
-        member = self.membership.next_ping()
+        self.membership.expire_members(self.clock.monotonic())
+        member = self.membership.next_ping_target()
         if member is not None:
             await self.ping(member)
         remote = self.remote_hosts()
@@ -113,16 +113,16 @@
 
     async def ping(self, member: Member) -> None:
         """Ping a member and take its news."""
-        message = Ping(self.membership.news(), self.in_force())
+        message = Ping(self.membership.updates_to_send(), self.in_force())
         answer = await self.peers.call(member.address, message)
         now = self.clock.monotonic()
         pong = answer.value_or(None)
         if isinstance(pong, Pong):
-            self.membership.hear(pong.news, now)
-            self.membership.answered(member.host_id, now)
+            self.membership.handle_updates(pong.news, now)
+            self.membership.record_ping_answer(member.host_id, now)
             self.heard(PeerInForce(pong.in_force, member.address))
         else:
-            self.membership.unanswered(member.host_id, now)
+            self.membership.record_ping_timeout(member.host_id, now)
 
     async def hint(self, address: Address) -> None:
         """Exchange with a host elsewhere what is in force."""
@@ -133,10 +133,10 @@
     async def answer_ping(self, ping: Ping) -> Pong:
         """Answer a heartbeat; an empty one comes from another data centre."""
         if ping.news:
-            self.membership.hear(ping.news, self.clock.monotonic())
+            self.membership.handle_updates(ping.news, self.clock.monotonic())
             self.publish()
             self.heard(PeerInForce(ping.in_force, ping.news[0].address))
-            return Pong(self.membership.news(), self.in_force())
+            return Pong(self.membership.updates_to_send(), self.in_force())
         return Pong((), self.in_force())
 
     async def answer_offer(self, offer: Offer) -> Taken:
@@ -147,7 +147,7 @@
 
     def publish(self) -> None:
         """Tell the other tasks when the set of live members changes."""
-        live = self.membership.live()
+        live = self.membership.live_members()
         known = [(m.host_id, m.incarnation) for m in self.live.value]
         if [(m.host_id, m.incarnation) for m in live] != known:
             self.metrics.peers.set({}, len(live))
@@ -155,13 +155,13 @@
 
     def is_reader(self) -> bool:
         """Return whether this host watches the platform for its data centre."""
-        members = [m.host_id for m in self.membership.live()]
+        members = [m.host_id for m in self.membership.live_members()]
         ranked = rank_members(f"readers/{self.data_centre}", members)
-        return self.membership.me.host_id in ranked[:READERS]
+        return self.membership.self_member.host_id in ranked[:READERS]
 
     def first_peers(self) -> list[Address]:
         """Return whom a new host hears: its data centre, and one host of each other."""
-        others = [m.address for m in self.membership.live() if not self.is_me(m)]
+        others = [m.address for m in self.membership.live_members() if not self.is_me(m)]
         elsewhere: dict[DataCentre, Address] = {}
         for host in self.remote_hosts():
             elsewhere.setdefault(host.data_centre, host.peer_address)
@@ -169,11 +169,11 @@
 
     def is_me(self, member: Member) -> bool:
         """Return whether a member is this host."""
-        return member.host_id == self.membership.me.host_id
+        return member.host_id == self.membership.self_member.host_id
 
     def spread(self) -> None:
         """Tell at once what is newly in force: locally all, elsewhere two of each."""
-        targets = [m.address for m in self.membership.live() if not self.is_me(m)]
+        targets = [m.address for m in self.membership.live_members() if not self.is_me(m)]
         told: dict[DataCentre, int] = {}
         for host in self.random.sample(self.remote_hosts(), len(self.remote_hosts())):
             if told.get(host.data_centre, 0) < READERS and self.is_reader():
@@ -184,7 +184,7 @@
 
     def tell(self, targets: list[Address]) -> None:
         """Send an offer to some hosts without waiting for them."""
-        offer = Offer(self.in_force(), str(self.membership.me.address))
+        offer = Offer(self.in_force(), str(self.membership.self_member.address))
         for address in targets:
             task = asyncio.create_task(self.send(address, offer))
             self.sending.add(task)
@@ -196,15 +196,15 @@
 
     async def leave(self) -> None:
         """Tell the members that this host is leaving."""
-        self.membership.leave()
+        self.membership.start_leaving()
         self.publish()
-        ping = Ping(self.membership.news(), self.in_force())
-        peers = [m.address for m in self.membership.live()]
+        ping = Ping(self.membership.updates_to_send(), self.in_force())
+        peers = [m.address for m in self.membership.live_members()]
         await asyncio.gather(*[self.peers.call(address, ping) for address in peers])
 
     def health_of(self) -> dict[str, str]:
         """Return how each member is seen, for operators."""
-        known = self.membership.known.items()
+        known = self.membership.records.items()
         seen = {str(host_id): k.member.health.name.lower() for host_id, k in known}
-        me = self.membership.me
+        me = self.membership.self_member
         return {**seen, str(me.host_id): Health(me.health).name.lower()}
--- a/packages/daemon/src/sardinequay_daemon/order_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_lease_task.py
@@ -10,7 +10,7 @@
 from sardinequay_core.catalogue import Catalogue
 from sardinequay_core.clock import Clock, Instant, seconds
 from sardinequay_core.names import HostId
-from sardinequay_core.order_candidate import Candidate
+from sardinequay_core.order_candidate import OrderCandidate
 from sardinequay_core.order_lease import (
     Ballot,
     OrderPolicy,
@@ -75,9 +75,9 @@
         self.random = random
         self.policy = policy
         now = clock.monotonic()
-        abstains_until = now if is_first_start else began + policy.lease
-        self.voter = Voter(policy, abstains_until, knows_tokens=is_first_start)
-        self.candidate = Candidate(me, policy)
+        abstains_until = now if is_first_start else began + policy.lease_duration
+        self.voter = Voter(policy, abstains_until, are_old_tokens_bounded=is_first_start)
+        self.candidate = OrderCandidate(me, policy)
         self.began = began
         self.no_holder_since = now
         self.stepped_at = now
@@ -88,7 +88,7 @@
     @property
     def is_holder(self) -> bool:
         """Return whether this host holds the lease now."""
-        self.candidate.refresh(self.clock.monotonic())
+        self.candidate.update_holder(self.clock.monotonic())
         return self.candidate.is_holder
 
     @property
@@ -109,7 +109,7 @@
             wall_s = self.clock.now().timestamp()
             # Peers pass entries on up to seconds after they know of a later revision.
             revision = max(catalogue.revision, self.newest_revision())
-            self.voter.learn_revision(revision, wall_s)
+            self.voter.record_revision(revision, wall_s)
 
     async def step(self) -> float:
         """Stand or renew; return how long to rest until the next look, in seconds."""
@@ -133,7 +133,7 @@
         return (
             not self.candidate.is_holder
             and not self.voter.is_leaving
-            and since_start < self.policy.returns
+            and since_start < self.policy.restart_grace
             and self.fleet.was_told_of_all
             and self.fleet.lease_holder() is None
         )
@@ -146,7 +146,7 @@
         """
         now = self.clock.monotonic()
         slept_since, self.stepped_at = self.stepped_at, now
-        if now - slept_since > SLEPT_LEASES * self.policy.lease:
+        if now - slept_since > SLEPT_LEASES * self.policy.lease_duration:
             log.warning("slept", extra={"for_s": (now - slept_since).total_seconds()})
             self.is_back = False
             self.fleet.rejoin()
@@ -160,7 +160,7 @@
         if self.voter.is_leaving:
             return False
         now = self.clock.monotonic()
-        if self.voter.is_promised(self.me, now):
+        if self.voter.is_vote_given_elsewhere(self.me, now):
             return False
         if self.fleet.lease_holder() is not None:
             self.no_holder_since = now
@@ -178,33 +178,33 @@
 
     async def canvass(self, is_return: bool = False) -> None:
         """Ask all voters of the data centre at once, and again if a token was low."""
-        voters = self.fleet.voters(self.policy.lease)
+        voters = self.fleet.voters(self.policy.lease_duration)
         if not self.candidate.is_holder:
             self.candidate.set_voters(voters)
         await self.ask_all(voters, is_return)
         # A holder counts new voters once they were asked: between, it would lack votes.
         self.candidate.set_voters(voters)
-        if self.candidate.must_ask_higher(self.clock.monotonic()):
+        if self.candidate.needs_higher_token(self.clock.monotonic()):
             await self.ask_all(voters, is_return)
 
     async def ask_all(self, voters: Iterable[HostId], is_return: bool) -> None:
         """Ask each voter once, and hosts that leave, which count no more."""
-        ballot = self.candidate.ballot(self.data_centre, is_return)
+        ballot = self.candidate.build_ballot(self.data_centre, is_return)
         now = self.clock.monotonic()
-        own = self.voter.vote(ballot, now)
-        self.candidate.take(self.me, own, now, now)
+        own = self.voter.handle_ballot(ballot, now)
+        self.candidate.record_vote(self.me, own, now, now)
         others = sorted({*voters, *self.fleet.leaving()} - {self.me})
         await asyncio.gather(*(self.ask_vote(v, ballot) for v in others))
 
     def after_canvass(self) -> None:
         """Step back after a split vote, so that votes lapse and one can win."""
         now = self.clock.monotonic()
-        self.candidate.refresh(now)
+        self.candidate.update_holder(now)
         if self.candidate.is_holder:
             return
-        self.voter.withdraw(self.me, self.candidate.last_order_at, now)
+        self.voter.withdraw_own_vote(self.me, self.candidate.last_order_at, now)
         spread_s = self.random.uniform(0, STEP_BACK_SPREAD_S)
-        self.no_holder_since = now + self.policy.lease + seconds(spread_s)
+        self.no_holder_since = now + self.policy.lease_duration + seconds(spread_s)
 
     async def ask_vote(self, voter: HostId, ballot: Ballot) -> None:
         """Ask one voter."""
@@ -214,7 +214,7 @@
         asked_at = self.clock.monotonic()
         answer = await self.peers.call(address, ballot, BALLOT_S)
         if isinstance(answer, Success) and isinstance(answer.unwrap(), Vote):
-            self.candidate.take(
+            self.candidate.record_vote(
                 voter, answer.unwrap(), asked_at, self.clock.monotonic()
             )
 
@@ -222,11 +222,11 @@
         """Answer a peer's ballot with this host's vote."""
         if ballot.data_centre != self.data_centre:
             return Vote(False, self.voter.holder, self.voter.highest_token, 0.0)
-        return self.voter.vote(ballot, self.clock.monotonic())
+        return self.voter.handle_ballot(ballot, self.clock.monotonic())
 
     async def answer_resign(self, message: Resign) -> Noted:
         """Take a holder's resignation."""
-        self.voter.resign(message, self.clock.monotonic())
+        self.voter.handle_resign(message, self.clock.monotonic())
         self.fleet.holds_no_more(message.holder)
         return Noted()
 
@@ -247,12 +247,12 @@
         Returns whether this host held it.
         """
         self.is_resigned = True
-        message = self.candidate.resign(self.data_centre, self.clock.monotonic())
+        message = self.candidate.resign_lease(self.data_centre, self.clock.monotonic())
         if message is None:
             return False
-        self.voter.resign(message, self.clock.monotonic())
+        self.voter.handle_resign(message, self.clock.monotonic())
         addresses = [
-            self.fleet.address_of(v) for v in self.fleet.voters(self.policy.lease)
+            self.fleet.address_of(v) for v in self.fleet.voters(self.policy.lease_duration)
         ]
         calls = [self.peers.call(a, message, BALLOT_S) for a in addresses if a]
         await asyncio.gather(*calls)
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -245,7 +245,7 @@
                 await self.rest(engine, step.for_s)
             elif isinstance(step, AskReport):
                 await self.ask_report(engine)
-            elif self.candidate.may_order(now):
+            elif self.candidate.can_order(now):
                 await self.give(engine, step)
             else:
                 await self.rest(engine, LEASE_LOOK_S)
@@ -304,10 +304,10 @@
         book, target = engine.book, engine.published.target
         expected = book.expected_orders(order)
         terms = OrderTerms(self.me, self.candidate.token, expected)
-        self.candidate.ordered(self.clock.monotonic())
+        self.candidate.record_order(self.clock.monotonic())
         result = await self.engines.order(target, order, terms)
         now = self.clock.monotonic()
-        self.candidate.ordered(now)
+        self.candidate.record_order(now)
         if book is not engine.book:
             # The engine has started again meanwhile: the order was the last start's.
             self.note_order(engine, order, "void: the engine started again")
@@ -320,7 +320,7 @@
             else:
                 outcome = f"refused: {answer.detail}"
                 if answer.is_stale_token:
-                    self.candidate.raise_token()
+                    self.candidate.raise_refused_token()
                 book.refused(order, now)
         else:
             outcome = f"in doubt: {result.failure().detail}"
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -117,13 +117,13 @@
         self.metrics = ServingMetrics(profile.host_id, profile.data_centre)
         self.peer_server = PeerServer(self.metrics)
         self.peers = PeerCaller(PEER_TIMING, self.metrics, profile.peers.ip)
-        order_policy = OrderPolicy(quiet=bounds.order_quiet)
+        order_policy = OrderPolicy(quiet_period=bounds.order_quiet)
         self.fleet = FleetTask(
             self.me,
             profile.seeds,
             self.peers,
             clock,
-            order_policy.remember,
+            order_policy.member_retention,
             self.digest,
         )
         self.store = StoreTask(
@@ -246,7 +246,7 @@
         self.fleet.set_seeds(profile.seeds)
         self.state.take_repeat_policy(profile.bounds.repeats)
         self.state.quotas.take_policy(profile.bounds.quotas)
-        self.lease.take_policy(OrderPolicy(quiet=profile.bounds.order_quiet))
+        self.lease.take_policy(OrderPolicy(quiet_period=profile.bounds.order_quiet))
         log.info("settings reloaded", extra={"seeds": [str(s) for s in profile.seeds]})
 
     # Digests.
--- a/packages/daemon/tests/test_order_lease_task.py
+++ b/packages/daemon/tests/test_order_lease_task.py
@@ -5,7 +5,7 @@
 from sardinequay_core.catalogue import Catalogue
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import HostId
-from sardinequay_core.order_lease import Ballot, OrderPolicy, token_bound
+from sardinequay_core.order_lease import Ballot, OrderPolicy, upper_token_bound
 from sardinequay_daemon.order_lease_task import OrderLeaseTask
 
 from .conftest import TurnedClock
@@ -45,7 +45,7 @@
 
 LEASE_S = 1.0
 QUIET_S = 3.1
-POLICY = OrderPolicy(lease=seconds(LEASE_S), quiet=seconds(QUIET_S))
+POLICY = OrderPolicy(lease_duration=seconds(LEASE_S), quiet_period=seconds(QUIET_S))
 
 
 def started(clock: TurnedClock, imports_s: float, is_first_start: bool):
@@ -55,7 +55,7 @@
     made = OrderLeaseTask(
         me, "za", None, Fleet(), clock, Random(1), POLICY, is_first_start, began
     )
-    made.voter.learn_revision(1, 0.0)
+    made.voter.record_revision(1, 0.0)
     return made
 
 
@@ -95,7 +95,7 @@
     )
     task.newest_revision = lambda: 80
     task.take_catalogue(Catalogue(revision=50))
-    assert task.voter.highest_token >= token_bound(80, 0.0)
+    assert task.voter.highest_token >= upper_token_bound(80, 0.0)
 
 
 async def test_host_that_slept_looks_for_the_voters_before_it_stands(
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -18,7 +18,7 @@
     PoolName,
     TargetId,
 )
-from sardinequay_core.order_candidate import Candidate
+from sardinequay_core.order_candidate import OrderCandidate
 from sardinequay_core.order_lease import OrderPolicy
 from sardinequay_core.residency import AdapterUses
 from sardinequay_core.roster import Target, TargetKind
@@ -45,7 +45,7 @@
     """A lease that this host holds."""
 
     def __init__(self) -> None:
-        self.candidate = Candidate(HostId("h1"), OrderPolicy(), is_holder=True)
+        self.candidate = OrderCandidate(HostId("h1"), OrderPolicy(), is_holder=True)
         self.orders_in_s = 0.0
 
     def lost(self) -> None:
--- a/packages/lab/src/sardinequay_lab/gossip_run.py
+++ b/packages/lab/src/sardinequay_lab/gossip_run.py
@@ -34,33 +34,33 @@
         """Have a host join that knows the platform's list."""
         random = Random(len(self.views))
         made = Membership(member, self.policy, random)
-        made.seed(listed, self.now)
+        made.add_listed(listed, self.now)
         self.views[member.host_id] = made
 
     def step(self) -> None:
         """Let one period pass: every host that lives pings one other."""
-        self.now += self.policy.period
+        self.now += self.policy.ping_interval
         for name, view in self.views.items():
             if name not in self.silent:
-                view.tick(self.now)
+                view.expire_members(self.now)
                 self.ping(view)
 
     def ping(self, view: Membership) -> None:
         """Have a host ping the next member."""
-        other = view.next_ping()
+        other = view.next_ping_target()
         if other is None:
             return
-        ping = Ping(view.news(), self.in_force)
+        ping = Ping(view.updates_to_send(), self.in_force)
         self.sent += len(encode_frame(frame_of(Kind.REQUEST, 1, ping)))
         if other.host_id in self.silent:
-            view.unanswered(other.host_id, self.now)
+            view.record_ping_timeout(other.host_id, self.now)
             return
         far = self.views[other.host_id]
-        far.hear(ping.news, self.now)
-        pong = Pong(far.news(), self.in_force)
+        far.handle_updates(ping.news, self.now)
+        pong = Pong(far.updates_to_send(), self.in_force)
         self.sent += len(encode_frame(frame_of(Kind.REPLY, 1, pong)))
-        view.hear(pong.news, self.now)
-        view.answered(other.host_id, self.now)
+        view.handle_updates(pong.news, self.now)
+        view.record_ping_answer(other.host_id, self.now)
 
     def steps_until(self, is_so: Callable[[Membership], bool]) -> float:
         """Step until something holds for every living host; return the seconds."""
@@ -85,16 +85,16 @@
     run.sent = 0
     for _ in range(SETTLE_STEPS):
         run.step()
-    lasted_s = SETTLE_STEPS * run.policy.period.total_seconds()
+    lasted_s = SETTLE_STEPS * run.policy.ping_interval.total_seconds()
     bytes_per_s = run.sent / hosts / lasted_s
     dead = HostId("h0")
     run.silent.add(dead)
     detected = run.steps_until(
-        lambda view: view.known[dead].member.health is Health.DEAD
+        lambda view: view.records[dead].member.health is Health.DEAD
     )
     new = Member(HostId("new"), Address("127.0.0.1", 9999), 1)
-    run.join(new, [view.me for view in run.views.values()])
+    run.join(new, [view.self_member for view in run.views.values()])
     joined = run.steps_until(
-        lambda view: new.host_id in view.known or view.me.host_id == new.host_id
+        lambda view: new.host_id in view.records or view.self_member.host_id == new.host_id
     )
     return bytes_per_s, detected, joined
