--- a/packages/core/src/sardinequay_core/engine_orders.py
+++ b/packages/core/src/sardinequay_core/engine_orders.py
@@ -5,7 +5,7 @@
 from .clock import Instant, seconds
 from .names import AdapterRef
 
-LATE_WORTH = 0.3
+LATE_ANSWER_WORTH = 0.3
 """Worth of a late answer against one on time; about what users give for it."""
 
 
@@ -64,8 +64,8 @@
     for_s: float
 
 
-Order = LoadModel | LoadAdapter | UnloadAdapter
-Step = Order | AskReport | Rest
+EngineOrder = LoadModel | LoadAdapter | UnloadAdapter
+SchedulerStep = EngineOrder | AskReport | Rest
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,11 +94,11 @@
 
     waiters: dict[int, Waiter] = field(default_factory=dict)
 
-    def since(self) -> Instant:
+    def earliest_since(self) -> Instant:
         """Return since when the longest waits."""
         return min(w.since for w in self.waiters.values())
 
-    def score(self, now: Instant, load_s: float) -> float:
+    def load_value(self, now: Instant, load_s: float) -> float:
         """Return what loading the adapter now is worth to all who wait.
 
         Parameters
@@ -109,6 +109,6 @@
         """
         ready_at = now + seconds(load_s)
         return sum(
-            w.worth if ready_at <= w.goal_at else w.worth * LATE_WORTH
+            w.worth if ready_at <= w.goal_at else w.worth * LATE_ANSWER_WORTH
             for w in self.waiters.values()
         )
--- a/packages/core/tests/test_engine_book.py
+++ b/packages/core/tests/test_engine_book.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sardinequay_core.clock import Instant, seconds
-from sardinequay_core.engine_book import EngineBook
+from sardinequay_core.engine_book import EngineScheduler
 from sardinequay_core.engine_orders import (
     AskReport,
     EngineStatus,
@@ -32,10 +32,10 @@
 
 
 @pytest.fixture
-def book() -> EngineBook:
+def book() -> EngineScheduler:
     """An engine with two places that holds x and y, both idle for long."""
-    made = EngineBook(TargetId("e"), places=2)
-    made.take_report(status(ref("x"), ref("y")), NOW, NOW)
+    made = EngineScheduler(TargetId("e"), max_adapters=2)
+    made.apply_report(status(ref("x"), ref("y")), NOW, NOW)
     return made
 
 
@@ -44,144 +44,144 @@
 
 
 def test_begins_with_a_report() -> None:
-    made = EngineBook(TargetId("e"), places=2)
+    made = EngineScheduler(TargetId("e"), max_adapters=2)
     assert made.next_step({}, NOW) == AskReport()
 
 
 def test_idle_adapter_makes_way_then_the_wanted_one_is_loaded(book) -> None:
-    book.want(ref("z"), waiter(later(1)))
+    book.add_waiter(ref("z"), waiter(later(1)))
     step = book.next_step({ref("x"): 1}, later(1))
     assert step == UnloadAdapter(ref("y"))
-    book.accepted(step, holds_already=True, now=later(1))
+    book.handle_order_accepted(step, holds_already=True, now=later(1))
     assert book.next_step({}, later(1)) == LoadAdapter(ref("z"))
 
 
 def test_unload_counts_as_an_order_and_names_no_count(book) -> None:
     order = UnloadAdapter(ref("y"))
-    assert book.expected_orders(order) is None
-    book.accepted(order, holds_already=True, now=NOW)
-    assert book.expected_orders(LoadAdapter(ref("z"))) == 1
+    assert book.expected_order_count(order) is None
+    book.handle_order_accepted(order, holds_already=True, now=NOW)
+    assert book.expected_order_count(LoadAdapter(ref("z"))) == 1
 
 
 def test_eviction_that_waits_for_its_requests_keeps_its_place(book) -> None:
-    book.want(ref("z"), waiter(later(1)))
-    book.accepted(UnloadAdapter(ref("y")), holds_already=False, now=later(1))
+    book.add_waiter(ref("z"), waiter(later(1)))
+    book.handle_order_accepted(UnloadAdapter(ref("y")), holds_already=False, now=later(1))
     assert not isinstance(book.next_step({}, later(1)), LoadAdapter)
     assert not book.is_ready(ref("y"))
     shown = status(ref("x"), orders=1)
-    book.take_report(shown, later(1.5), later(1.6))
+    book.apply_report(shown, later(1.5), later(1.6))
     assert book.next_step({}, later(1.6)) == LoadAdapter(ref("z"))
 
 
 def test_after_an_open_order_only_a_later_report_counts(book) -> None:
-    book.in_doubt(later(1))
-    book.want(ref("z"), waiter(later(1)))
-    book.take_report(status(ref("x")), later(1.1), later(1.2))
-    assert book.orders is None
-    book.take_report(status(ref("x")), later(1.5), later(1.6))
+    book.mark_in_doubt(later(1))
+    book.add_waiter(ref("z"), waiter(later(1)))
+    book.apply_report(status(ref("x")), later(1.1), later(1.2))
+    assert book.accepted_orders is None
+    book.apply_report(status(ref("x")), later(1.5), later(1.6))
     assert book.next_step({}, later(1.6)) == LoadAdapter(ref("z"))
 
 
 def test_report_older_than_the_last_order_says_nothing(book) -> None:
-    book.accepted(UnloadAdapter(ref("y")), holds_already=True, now=later(1))
-    book.take_report(status(ref("x"), ref("y"), orders=0), later(1.1), later(1.2))
+    book.handle_order_accepted(UnloadAdapter(ref("y")), holds_already=True, now=later(1))
+    book.apply_report(status(ref("x"), ref("y"), orders=0), later(1.1), later(1.2))
     assert not book.is_ready(ref("y"))
 
 
 def test_adapter_that_just_came_is_not_evicted_before_its_use_is_known(book) -> None:
-    book.used_at.pop(ref("y"))
-    book.accepted(LoadAdapter(ref("z")), holds_already=False, now=later(1))
-    book.settle(later(1.3))
+    book.last_used_at.pop(ref("y"))
+    book.handle_order_accepted(LoadAdapter(ref("z")), holds_already=False, now=later(1))
+    book.complete_due_loads(later(1.3))
     assert book.is_ready(ref("z"))
-    book.want(ref("v"), waiter(later(1.3)))
+    book.add_waiter(ref("v"), waiter(later(1.3)))
     assert isinstance(book.next_step({ref("x"): 1}, later(1.31)), Rest)
 
 
 def test_most_worth_is_loaded_first(book) -> None:
-    book.used_at.clear()
-    book.want(ref("u"), waiter(later(1)))
-    book.want(ref("v"), waiter(later(1)))
-    book.want(ref("v"), waiter(later(1)))
+    book.last_used_at.clear()
+    book.add_waiter(ref("u"), waiter(later(1)))
+    book.add_waiter(ref("v"), waiter(later(1)))
+    book.add_waiter(ref("v"), waiter(later(1)))
     assert book.next_step({}, later(1)) == LoadAdapter(ref("v"))
 
 
 def test_late_waiters_count_less_than_those_on_time(book) -> None:
-    book.used_at.clear()
-    book.want(ref("u"), Waiter(1.5, later(0.5), later(3), later(0)))
-    book.want(ref("v"), waiter(later(1)))
+    book.last_used_at.clear()
+    book.add_waiter(ref("u"), Waiter(1.5, later(0.5), later(3), later(0)))
+    book.add_waiter(ref("v"), waiter(later(1)))
     assert book.next_step({}, later(1)) == LoadAdapter(ref("v"))
 
 
 def test_refused_unload_is_not_repeated_at_once(book) -> None:
-    book.want(ref("z"), waiter(later(1)))
+    book.add_waiter(ref("z"), waiter(later(1)))
     step = book.next_step({}, later(1))
-    book.refused(step, later(1))
+    book.handle_order_refused(step, later(1))
     other = book.next_step({}, later(1.01))
     assert isinstance(other, UnloadAdapter)
     assert other != step
 
 
 def test_older_version_makes_way_for_the_newer(book) -> None:
-    book.want(ref("x", "2"), waiter(later(1)))
+    book.add_waiter(ref("x", "2"), waiter(later(1)))
     assert not book.is_ready(ref("x", "2"))
     assert book.next_step({}, later(1)) == UnloadAdapter(ref("x"))
 
 
 def test_empty_engine_loads_its_model_first_and_once() -> None:
-    made = EngineBook(TargetId("e"), places=2, model_wanted="m")
-    made.take_report(status(models=frozenset()), NOW, NOW)
+    made = EngineScheduler(TargetId("e"), max_adapters=2, requested_model="m")
+    made.apply_report(status(models=frozenset()), NOW, NOW)
     step = made.next_step({}, NOW)
     assert step == LoadModel("m")
-    made.accepted(step, holds_already=False, now=NOW)
+    made.handle_order_accepted(step, holds_already=False, now=NOW)
     assert not isinstance(made.next_step({}, later(0.1)), LoadModel)
 
 
 def test_load_that_takes_longer_is_waited_for_and_learned_from(book) -> None:
-    book.used_at.pop(ref("y"))
-    before = book.times.cold_s
-    book.accepted(LoadAdapter(ref("z")), holds_already=False, now=later(1))
-    book.settle(later(1.3))
-    book.missing(ref("z"), later(1.31))
-    assert ref("z") in book.coming
-    assert book.times.cold_s > before
+    book.last_used_at.pop(ref("y"))
+    before = book.load_times.cold_s
+    book.handle_order_accepted(LoadAdapter(ref("z")), holds_already=False, now=later(1))
+    book.complete_due_loads(later(1.3))
+    book.handle_adapter_missing(ref("z"), later(1.31))
+    assert ref("z") in book.loading_until
+    assert book.load_times.cold_s > before
 
 
 def test_expected_wait_grows_with_the_queue(book) -> None:
     waits = []
     for name in "uvw":
         waits.append(book.expected_wait_s(ref(name), waiter(later(1)), later(1)))
-        book.want(ref(name), waiter(later(1)))
+        book.add_waiter(ref(name), waiter(later(1)))
     assert waits[0] < waits[1] < waits[2]
 
 
 def test_never_orders_more_than_there_are_places() -> None:
     """Replay a burst of wishes against an engine that counts its places."""
-    made = EngineBook(TargetId("e"), places=3)
+    made = EngineScheduler(TargetId("e"), max_adapters=3)
     held: set[AdapterRef] = set()
     orders = 0
-    made.take_report(status(), NOW, NOW)
+    made.apply_report(status(), NOW, NOW)
     now = NOW
     for n in range(400):
         now += seconds(0.02)
-        made.want(ref(f"a{n % 17}"), waiter(now))
+        made.add_waiter(ref(f"a{n % 17}"), waiter(now))
         step = made.next_step({}, now)
         if isinstance(step, LoadAdapter):
             held.add(step.adapter)
             orders += 1
-            made.accepted(step, holds_already=False, now=now)
+            made.handle_order_accepted(step, holds_already=False, now=now)
         elif isinstance(step, UnloadAdapter):
             held.discard(step.adapter)
             orders += 1
-            made.accepted(step, holds_already=True, now=now)
+            made.handle_order_accepted(step, holds_already=True, now=now)
         assert len(held) <= 3
     assert orders > 40
 
 
 def test_load_that_makes_an_answer_late_yields_to_one_that_does_not(book) -> None:
-    book.used_at.clear()
+    book.last_used_at.clear()
     nearly_late = Waiter(1.5, later(1.1), later(4), later(0.3))
-    book.want(ref("u"), nearly_late)
-    book.want(ref("v"), waiter(later(1)))
+    book.add_waiter(ref("u"), nearly_late)
+    book.add_waiter(ref("v"), waiter(later(1)))
     assert book.next_step({}, later(1)) == LoadAdapter(ref("v"))
 
 
@@ -191,8 +191,8 @@
     By recency alone, eleven others come between two requests for one of the four, and
     each of its requests finds it evicted.
     """
-    made = EngineBook(TargetId("e"), places=6)
-    made.take_report(status(), NOW, NOW)
+    made = EngineScheduler(TargetId("e"), max_adapters=6)
+    made.apply_report(status(), NOW, NOW)
     loads = {ref(f"hot{n}"): 0 for n in range(4)}
     now = NOW
     for n in range(300):
@@ -200,46 +200,46 @@
         wanted = ref(f"hot{n // 3 % 4}" if is_hot else f"once{n}")
         until = now + seconds(0.07)
         if not made.is_ready(wanted):
-            made.want(wanted, waiter(now))
+            made.add_waiter(wanted, waiter(now))
         while now < until:
             step = made.next_step({}, now)
             if isinstance(step, LoadAdapter):
                 loads[step.adapter] = loads.get(step.adapter, 0) + 1
-                made.accepted(step, holds_already=False, now=now)
-                made.coming[step.adapter] = now
+                made.handle_order_accepted(step, holds_already=False, now=now)
+                made.loading_until[step.adapter] = now
             elif isinstance(step, UnloadAdapter):
-                made.accepted(step, holds_already=True, now=now)
+                made.handle_order_accepted(step, holds_already=True, now=now)
             now += seconds(0.005)
-        made.begin_use(wanted, now)
+        made.record_use_start(wanted, now)
     assert sum(loads[ref(f"hot{n}")] for n in range(4)) <= 12
 
 
 def test_report_of_an_earlier_start_is_not_believed() -> None:
-    made = EngineBook(TargetId("e"), places=2, incarnation=2_000)
-    made.take_report(status(ref("x"), orders=7, incarnation=1_000), NOW, NOW)
-    assert made.orders is None
-    assert not made.residents()
-    made.take_report(status(orders=0, incarnation=2_000), NOW, NOW)
-    assert made.orders == 0
+    made = EngineScheduler(TargetId("e"), max_adapters=2, incarnation=2_000)
+    made.apply_report(status(ref("x"), orders=7, incarnation=1_000), NOW, NOW)
+    assert made.accepted_orders is None
+    assert not made.open_adapters()
+    made.apply_report(status(orders=0, incarnation=2_000), NOW, NOW)
+    assert made.accepted_orders == 0
 
 
 def test_load_that_is_denied_again_and_again_is_in_doubt(book) -> None:
     """Replay an engine that started again unnoticed: it has lost what was coming."""
-    book.want(ref("z"), waiter(later(1)))
+    book.add_waiter(ref("z"), waiter(later(1)))
     drop = book.next_step({}, later(1))
-    book.accepted(drop, holds_already=True, now=later(1))
-    book.accepted(LoadAdapter(ref("z")), holds_already=False, now=later(1))
+    book.handle_order_accepted(drop, holds_already=True, now=later(1))
+    book.handle_order_accepted(LoadAdapter(ref("z")), holds_already=False, now=later(1))
     for tenth in range(13, 40):
         now = later(tenth / 10)
-        book.settle(now)
-        book.missing(ref("z"), now)
-    assert book.orders is None
+        book.complete_due_loads(now)
+        book.handle_adapter_missing(ref("z"), now)
+    assert book.accepted_orders is None
     assert not book.is_ready(ref("z"))
 
 
 def test_adapter_in_use_stays_open_while_others_wait(book) -> None:
     """Replay full engines: closed to new requests, a place stood half empty."""
-    book.want(ref("z"), waiter(later(1)))
+    book.add_waiter(ref("z"), waiter(later(1)))
     in_use = {ref("x"): 1, ref("y"): 1}
     for tenth in range(10, 30):
         assert isinstance(book.next_step(in_use, later(tenth / 10)), Rest | AskReport)
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -13,10 +13,10 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
-from sardinequay_core.engine_book import EngineBook
+from sardinequay_core.engine_book import EngineScheduler
 from sardinequay_core.engine_orders import (
     AskReport,
-    Order,
+    EngineOrder,
     Rest,
 )
 from sardinequay_core.names import HostId, TargetId, parse_adapter_ref
@@ -201,10 +201,10 @@
             },
         )
         engine.published = published
-        engine.book = EngineBook(
-            old.target, old.places, published.incarnation, old.number + 1
+        engine.book = EngineScheduler(
+            old.target, old.max_adapters, published.incarnation, old.change_number + 1
         )
-        engine.book.in_doubt(self.clock.monotonic())
+        engine.book.mark_in_doubt(self.clock.monotonic())
         engine.wake.set()
 
     def open_book(self, published: PublishedTarget) -> None:
@@ -214,12 +214,12 @@
         pool = config.pools[published.target.pool].engines if config else None
         if pool is None or target_id in self.ordered:
             return
-        book = EngineBook(target_id, pool.adapter_slots, published.incarnation)
+        book = EngineScheduler(target_id, pool.adapter_slots, published.incarnation)
         told = self.heard_holdings.get(target_id)
         heard = told.holdings if told is not None else None
         if heard is not None and heard.incarnation >= book.incarnation:
             book.incarnation = heard.incarnation
-            book.times.inherit(parse_adapter_ref(t).unwrap() for t in heard.recent)
+            book.load_times.inherit(parse_adapter_ref(t).unwrap() for t in heard.recent)
         engine = self.ordered[target_id] = OrderedEngine(published, book)
         engine.task = asyncio.create_task(self.order_engine(engine))
 
@@ -264,10 +264,10 @@
         pool = config.pools.get(engine.published.target.pool) if config else None
         if pool is None or pool.engines is None:
             return
-        engine.book.places = pool.engines.adapter_places(engine.book.models)
-        engine.book.model_wanted = None
-        if not engine.book.models and engine.book.orders is not None:
-            engine.book.model_wanted = self.rarest_model(pool, pool.engines)
+        engine.book.max_adapters = pool.engines.adapter_places(engine.book.models)
+        engine.book.requested_model = None
+        if not engine.book.models and engine.book.accepted_orders is not None:
+            engine.book.requested_model = self.rarest_model(pool, pool.engines)
 
     def rarest_model(self, pool: Pool, engines: EnginePool) -> str | None:
         """Return the model that the fewest engines of a pool hold."""
@@ -289,9 +289,9 @@
                     engine, replace(engine.published, incarnation=status.incarnation)
                 )
                 return
-            number = engine.book.number
-            engine.book.take_report(status, asked_at, now)
-            if engine.book.number != number:
+            number = engine.book.change_number
+            engine.book.apply_report(status, asked_at, now)
+            if engine.book.change_number != number:
                 self.log_holdings(engine, "report")
                 self.told()
             return
@@ -299,10 +299,10 @@
         log.info("no report", extra={"target": engine.book.target, "detail": detail})
         await self.rest(engine, REPORT_PAUSE_S)
 
-    async def give(self, engine: OrderedEngine, order: Order) -> None:
+    async def give(self, engine: OrderedEngine, order: EngineOrder) -> None:
         """Send one order and enter its result."""
         book, target = engine.book, engine.published.target
-        expected = book.expected_orders(order)
+        expected = book.expected_order_count(order)
         terms = OrderTerms(self.me, self.candidate.token, expected)
         self.candidate.record_order(self.clock.monotonic())
         result = await self.engines.order(target, order, terms)
@@ -316,19 +316,19 @@
             answer = result.unwrap()
             if isinstance(answer, OrderAccepted):
                 outcome = "held already" if answer.holds_already else "accepted"
-                book.accepted(order, answer.holds_already, now)
+                book.handle_order_accepted(order, answer.holds_already, now)
             else:
                 outcome = f"refused: {answer.detail}"
                 if answer.is_stale_token:
                     self.candidate.raise_refused_token()
-                book.refused(order, now)
+                book.handle_order_refused(order, now)
         else:
             outcome = f"in doubt: {result.failure().detail}"
-            book.in_doubt(now)
+            book.mark_in_doubt(now)
         self.note_order(engine, order, outcome)
         self.told()
 
-    def note_order(self, engine: OrderedEngine, order: Order, outcome: str) -> None:
+    def note_order(self, engine: OrderedEngine, order: EngineOrder, outcome: str) -> None:
         """Log and count one order."""
         kind = type(order).__name__
         result = outcome.partition(":")[0]
@@ -340,10 +340,10 @@
                 "kind": kind,
                 "subject": subject_of(order),
                 "token": self.candidate.token,
-                "resident": [str(a) for a in engine.book.residents()],
+                "resident": [str(a) for a in engine.book.open_adapters()],
                 "in_use": len(self.uses.on(engine.book.target)),
-                "coming": len(engine.book.coming),
-                "wanted": len(engine.book.wanted),
+                "coming": len(engine.book.loading_until),
+                "wanted": len(engine.book.load_requests),
                 "outcome": outcome,
             },
         )
@@ -355,7 +355,7 @@
             extra={
                 "target": engine.book.target,
                 "source": source,
-                "resident": [str(a) for a in engine.book.residents()],
+                "resident": [str(a) for a in engine.book.open_adapters()],
             },
         )
 
@@ -374,11 +374,11 @@
         if isinstance(message, AdapterMissing):
             if message.incarnation < engine.book.incarnation:
                 return Noted()
-            engine.book.missing(message.adapter, self.clock.monotonic())
+            engine.book.handle_adapter_missing(message.adapter, self.clock.monotonic())
         elif message.use.count:
-            engine.book.begin_use(message.use.adapter, self.clock.monotonic())
+            engine.book.record_use_start(message.use.adapter, self.clock.monotonic())
         else:
-            engine.book.use({message.use.adapter: 1}, self.clock.monotonic())
+            engine.book.record_uses({message.use.adapter: 1}, self.clock.monotonic())
         engine.wake.set()
         return Noted()
 
@@ -411,20 +411,20 @@
             EngineHoldings(
                 e.book.target,
                 self.candidate.token,
-                e.book.number,
-                e.book.residents(),
+                e.book.change_number,
+                e.book.open_adapters(),
                 {
                     str(a): e.book.ready_in_s(a, now) or 0.0
-                    for a in sorted(e.book.coming)
+                    for a in sorted(e.book.loading_until)
                 },
-                tuple(str(a) for a in e.book.times.recent),
-                len(e.book.wanted),
-                e.book.times.turnover_s,
+                tuple(str(a) for a in e.book.load_times.recent),
+                len(e.book.load_requests),
+                e.book.load_times.turnover_s,
                 e.book.incarnation,
-                self.uses.idle_among(e.book.target, e.book.residents()),
+                self.uses.idle_among(e.book.target, e.book.open_adapters()),
             )
             for e in self.ordered.values()
-            if e.book.orders is not None or e.book.number
+            if e.book.accepted_orders is not None or e.book.change_number
         )
         return self.written
 
--- a/packages/daemon/src/sardinequay_daemon/ordered_engine.py
+++ b/packages/daemon/src/sardinequay_daemon/ordered_engine.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 
 from sardinequay_core.catalogue import PublishedTarget
-from sardinequay_core.engine_book import EngineBook
-from sardinequay_core.engine_orders import LoadAdapter, LoadModel, Order, UnloadAdapter
+from sardinequay_core.engine_book import EngineScheduler
+from sardinequay_core.engine_orders import LoadAdapter, LoadModel, EngineOrder, UnloadAdapter
 from sardinequay_core.names import AdapterRef
 
 
@@ -14,7 +14,7 @@
     """An engine that this host orders: its book, and the task that carries it out."""
 
     published: PublishedTarget
-    book: EngineBook
+    book: EngineScheduler
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     ready: dict[AdapterRef, list[asyncio.Future[None]]] = field(default_factory=dict)
     task: asyncio.Task[None] | None = None
@@ -43,7 +43,7 @@
                     future.set_result(None)
 
 
-def subject_of(order: Order) -> str:
+def subject_of(order: EngineOrder) -> str:
     """Return what an order is about."""
     if isinstance(order, LoadModel):
         return order.model
--- a/packages/daemon/src/sardinequay_daemon/serving_ports.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_ports.py
@@ -12,7 +12,7 @@
 from returns.result import Result
 
 from sardinequay_core.catalogue import Change
-from sardinequay_core.engine_orders import EngineStatus, Order
+from sardinequay_core.engine_orders import EngineStatus, EngineOrder
 from sardinequay_core.names import Address, DataCentre, HostId
 from sardinequay_core.organisations import KeyDigest
 from sardinequay_core.outcome import Refusal
@@ -211,7 +211,7 @@
         """Ask an engine for its report."""
 
     async def order(
-        self, target: Target, order: Order, terms: OrderTerms
+        self, target: Target, order: EngineOrder, terms: OrderTerms
     ) -> Result[OrderAccepted | OrderRefused, PlatformError]:
         """Give an engine an order; a failure leaves open whether it was accepted."""
 
--- a/packages/daemon/src/sardinequay_daemon/wish_desk.py
+++ b/packages/daemon/src/sardinequay_daemon/wish_desk.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Mapping
 
 from sardinequay_core.clock import Clock, seconds
-from sardinequay_core.engine_book import EngineBook
+from sardinequay_core.engine_book import EngineScheduler
 from sardinequay_core.engine_orders import Waiter
 from sardinequay_core.names import AdapterRef, TargetId
 
@@ -43,7 +43,7 @@
         if engine is None or opens_in_s == NEVER_S:
             return WantReply(False, "not ordered here")
         book, adapter = engine.book, message.adapter
-        book.settle(now)
+        book.complete_due_loads(now)
         if book.is_ready(adapter):
             return WantReply(True, "resident")
         until = now + seconds(message.wait_s)
@@ -61,8 +61,8 @@
         """Wait until an adapter is there, or until the request is to look again."""
         book, adapter = engine.book, message.adapter
         ticket = 0
-        if adapter not in book.coming:
-            ticket = book.want(adapter, waiter)
+        if adapter not in book.loading_until:
+            ticket = book.add_waiter(adapter, waiter)
         future = engine.wait_for(adapter)
         engine.wake.set()
         try:
@@ -70,18 +70,18 @@
                 await future
             return WantReply(True, "loaded")
         except TimeoutError:
-            book.cancel(adapter, ticket)
+            book.cancel_waiter(adapter, ticket)
             return self.still_queued(book, adapter, waiter)
         except asyncio.CancelledError:
             if future.cancelled() and message.target not in self.ordered:
                 return WantReply(False, "ordering ended")
             raise
         finally:
-            book.cancel(adapter, ticket)
+            book.cancel_waiter(adapter, ticket)
             engine.drop_waiter(adapter, future)
 
     def still_queued(
-        self, book: EngineBook, adapter: AdapterRef, waiter: Waiter
+        self, book: EngineScheduler, adapter: AdapterRef, waiter: Waiter
     ) -> WantReply:
         """Return how long a request that has waited would still wait."""
         opens_in_s = self.opens_in_s()
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import seconds
-from sardinequay_core.engine_book import EngineBook
+from sardinequay_core.engine_book import EngineScheduler
 from sardinequay_core.engine_orders import EngineStatus, LoadAdapter
 from sardinequay_core.names import (
     AdapterRef,
@@ -116,26 +116,26 @@
     )
     made.catalogue = catalogue(FIRST)
     made.is_ordering = True
-    book = EngineBook(E, 2, FIRST)
-    book.take_report(holding(FIRST, A), clock.monotonic(), clock.monotonic())
+    book = EngineScheduler(E, 2, FIRST)
+    book.apply_report(holding(FIRST, A), clock.monotonic(), clock.monotonic())
     made.ordered[E] = OrderedEngine(published(FIRST), book)
     return made
 
 
 def test_listing_of_a_later_start_opens_another_book(task: OrderTask, clock) -> None:
-    number = task.ordered[E].book.number
+    number = task.ordered[E].book.change_number
     task.take_catalogue(catalogue(SECOND))
     book = task.ordered[E].book
     assert book.incarnation == SECOND
-    assert not book.residents()
-    assert book.orders is None
-    assert book.number > number
+    assert not book.open_adapters()
+    assert book.accepted_orders is None
+    assert book.change_number > number
 
 
 def test_listing_of_an_earlier_start_changes_nothing(task: OrderTask) -> None:
     task.ordered[E].book.incarnation = SECOND
     task.take_catalogue(catalogue(FIRST))
-    assert task.ordered[E].book.residents() == (A,)
+    assert task.ordered[E].book.open_adapters() == (A,)
 
 
 async def test_report_of_a_later_start_opens_another_book(
@@ -144,7 +144,7 @@
     engines.status = holding(SECOND)
     await task.ask_report(task.ordered[E])
     assert task.ordered[E].book.incarnation == SECOND
-    assert not task.ordered[E].book.residents()
+    assert not task.ordered[E].book.open_adapters()
 
 
 async def test_order_meant_for_the_start_before_is_not_counted(
@@ -156,8 +156,8 @@
     task.take_catalogue(catalogue(SECOND))
     engines.may_answer.set()
     await giving
-    assert not engine.book.coming
-    assert engine.book.orders is None
+    assert not engine.book.loading_until
+    assert engine.book.accepted_orders is None
 
 
 async def test_denial_of_the_start_before_is_not_believed(task: OrderTask) -> None:
@@ -166,11 +166,11 @@
     task.reopen_book(task.ordered[E], later)
     book = task.ordered[E].book
     now = task.clock.monotonic() + seconds(9)
-    book.take_report(holding(SECOND, A), now, now)
+    book.apply_report(holding(SECOND, A), now, now)
     await task.answer_telling(AdapterMissing(E, A, FIRST))
-    assert book.residents() == (A,)
+    assert book.open_adapters() == (A,)
     await task.answer_telling(AdapterMissing(E, A, SECOND))
-    assert book.residents() == ()
+    assert book.open_adapters() == ()
 
 
 def test_what_engines_hold_is_written_once_for_many_hosts(
