--- a/packages/core/src/sardinequay_core/guard_duty.py
+++ b/packages/core/src/sardinequay_core/guard_duty.py
@@ -11,7 +11,7 @@
     Settle,
 )
 from .clock import Instant
-from .joining import ViewJoin
+from .view_join import ViewJoin
 from .views import GuardAddress, View
 
 
--- a/packages/core/src/sardinequay_core/keeper.py
+++ b/packages/core/src/sardinequay_core/keeper.py
@@ -16,7 +16,7 @@
 from datetime import timedelta
 
 from .clock import Instant
-from .kept_engine import (
+from .engine_record import (
     Command,
     EngineReport,
     LeaseGrant,
--- a/packages/core/tests/test_claims.py
+++ b/packages/core/tests/test_claims.py
@@ -16,7 +16,7 @@
 )
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.guard_duty import GuardDuty
-from sardinequay_core.joining import ViewJoin
+from sardinequay_core.view_join import ViewJoin
 from sardinequay_core.names import Address, AttemptId, DataCentre, HostId
 from sardinequay_core.outcome import Outcome
 from sardinequay_core.views import GuardAddress, View
--- a/packages/core/tests/test_engine_book.py
+++ b/packages/core/tests/test_engine_scheduler.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sardinequay_core.clock import Instant, seconds
-from sardinequay_core.engine_book import EngineScheduler
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import (
     AskReport,
     EngineStatus,
--- a/packages/core/tests/test_keeper.py
+++ b/packages/core/tests/test_keeper.py
@@ -7,7 +7,7 @@
 
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.keeper import Keeper
-from sardinequay_core.kept_engine import (
+from sardinequay_core.engine_record import (
     EngineReport,
     KeeperPolicy,
     LoadCommand,
--- a/packages/daemon/src/sardinequay_daemon/engines.py
+++ b/packages/daemon/src/sardinequay_daemon/engines.py
@@ -14,7 +14,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from sardinequay_core.kept_engine import EngineReport
+from sardinequay_core.engine_record import EngineReport
 from sardinequay_core.leases import AdapterUse
 from sardinequay_core.names import AdapterRef, Address, TargetId
 from sardinequay_core.roster import Target, TargetKind
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -19,7 +19,7 @@
 )
 from sardinequay_core.clock import Clock
 from sardinequay_core.guard_duty import GuardDuty
-from sardinequay_core.joining import ViewJoin
+from sardinequay_core.view_join import ViewJoin
 from sardinequay_core.names import DataCentre, HostId, parse_address
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
 from sardinequay_core.views import GuardAddress, View, build_view
--- a/packages/daemon/src/sardinequay_daemon/keeper_events.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_events.py
@@ -5,7 +5,7 @@
 
 from sardinequay_core.bundle import Bundle
 from sardinequay_core.clock import Instant
-from sardinequay_core.kept_engine import (
+from sardinequay_core.engine_record import (
     EngineReport,
     LoadCommand,
     RecallCommand,
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -16,7 +16,7 @@
 from sardinequay_core.bundle import Bundle, PoolSettings
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.keeper import SUFFIX_BITS, Keeper
-from sardinequay_core.kept_engine import (
+from sardinequay_core.engine_record import (
     Command,
     KeeperPolicy,
     LoadCommand,
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -13,7 +13,7 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
-from sardinequay_core.engine_book import EngineScheduler
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import (
     AskReport,
     EngineOrder,
--- a/packages/daemon/src/sardinequay_daemon/ordered_engine.py
+++ b/packages/daemon/src/sardinequay_daemon/ordered_engine.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from sardinequay_core.catalogue import PublishedTarget
-from sardinequay_core.engine_book import EngineScheduler
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import LoadAdapter, LoadModel, EngineOrder, UnloadAdapter
 from sardinequay_core.names import AdapterRef
 
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import seconds
-from sardinequay_core.engine_book import EngineScheduler
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import EngineStatus, LoadAdapter
 from sardinequay_core.names import (
     AdapterRef,
--- a/packages/lab/src/sardinequay_lab/lease_world.py
+++ b/packages/lab/src/sardinequay_lab/lease_world.py
@@ -12,7 +12,7 @@
 
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.keeper import SUFFIX_BITS, Keeper
-from sardinequay_core.kept_engine import (
+from sardinequay_core.engine_record import (
     EngineReport,
     KeeperPolicy,
     LoadCommand,
--- a/packages/lab/src/sardinequay_lab/placement_policies.py
+++ b/packages/lab/src/sardinequay_lab/placement_policies.py
@@ -6,7 +6,7 @@
 
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.keeper import Keeper
-from sardinequay_core.kept_engine import (
+from sardinequay_core.engine_record import (
     EngineReport,
     KeeperPolicy,
     LoadCommand,
--- a/packages/lab/src/sardinequay_lab/slopes.py
+++ b/packages/lab/src/sardinequay_lab/slopes.py
@@ -28,7 +28,7 @@
 from sardinequay_core.claims import ClaimPolicy, ClaimRequest, Guard
 from sardinequay_core.clock import seconds
 from sardinequay_core.keeper import Keeper
-from sardinequay_core.kept_engine import EngineReport, KeeperPolicy, LoadCommand
+from sardinequay_core.engine_record import EngineReport, KeeperPolicy, LoadCommand
 from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
 from sardinequay_core.load_queue import LoadPolicy
 from sardinequay_core.names import (
