--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from sardinequay_core.admission import Admission, AdmissionPolicy, RetryPolicy
-from sardinequay_core.approval import Trust
+from sardinequay_core.approval import ApprovalPolicy
 from sardinequay_core.bundle import Bundle
 from sardinequay_core.claims import ClaimRequest, HandoverRequest, Settle, ViewQuery
 from sardinequay_core.clock import Clock
@@ -18,7 +18,7 @@
 from sardinequay_core.membership import Member
 from sardinequay_core.names import Address, parse_address
 from sardinequay_core.quarantine import Quarantine, QuarantinePolicy
-from sardinequay_core.rollout import Offered
+from sardinequay_core.rollout import OfferedBundle
 from sardinequay_core.roster import Roster
 
 from .caller_server import CallerServer
@@ -127,7 +127,7 @@
             self.guard.is_guard,
         )
         self.rollout = RolloutTask(
-            Trust(settings.trust.keys, settings.trust.threshold),
+            ApprovalPolicy(settings.trust.keys, settings.trust.threshold),
             HttpConfigurationService(
                 self.make_reader(pooled_session, settings.configuration_service, "configuration")
             ),
@@ -338,8 +338,8 @@
     def handle_peer_in_force(self, event: PeerInForce) -> None:
         """Pass on what a peer has in force to those who may want it."""
         in_force = event.in_force
-        offered = Offered(in_force.bundle_version, in_force.bundle_digest)
-        if self.rollout.rollout.is_worth_asking(offered):
+        offered = OfferedBundle(in_force.bundle_version, in_force.bundle_digest)
+        if self.rollout.rollout.should_fetch(offered):
             self.rollout.inbox.tell(PeerOffer(offered, event.address))
         if in_force.roster_number > self.roster.roster.number:
             self.roster.inbox.tell((in_force.roster_number, event.address))
@@ -351,7 +351,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this host takes requests."""
-        has_all = self.rollout.rollout.may_serve() and self.roster.roster.number > 0
+        has_all = self.rollout.rollout.can_serve() and self.roster.roster.number > 0
         return has_all and not self.is_stopping
 
     def status(self) -> HostStatus:
@@ -365,7 +365,7 @@
             bundle_version=in_place.bundle.version if in_place else 0,
             bundle_digest=in_place.bundle.digest if in_place else "",
             bundle_since=in_place.since.isoformat() if in_place else "",
-            confirmed_by=self.rollout.rollout.heard.value,
+            confirmed_by=self.rollout.rollout.confirmation.value,
             bundles_refused=sorted(f"{r} {d}" for r, d in self.rollout.rollout.refused),
             roster_number=self.roster.roster.number,
             in_flight=self.callers.admission.in_flight,
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -13,18 +13,18 @@
 import reactivex
 from returns.result import Result, Success
 
-from sardinequay_core.bundle import Bundle, Pool
+from sardinequay_core.bundle import Bundle, PoolSettings
 from sardinequay_core.clock import Clock, Instant
 from sardinequay_core.keeper import SUFFIX_BITS, Keeper
-from sardinequay_core.kept_engine import (
+from sardinequay_core.engine_record import (
     Command,
     KeeperPolicy,
-    OrderLoad,
-    OrderRecall,
-    OrderUnload,
+    LoadCommand,
+    RecallCommand,
+    UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, Use
-from sardinequay_core.load_queue import GiveUp, LoadPolicy
+from sardinequay_core.leases import HolderId, AdapterUse
+from sardinequay_core.load_queue import RejectWaiter, LoadPolicy
 from sardinequay_core.membership import Member
 from sardinequay_core.names import (
     AdapterRef,
@@ -35,7 +35,7 @@
     TargetId,
     parse_address,
 )
-from sardinequay_core.rendezvous import rank
+from sardinequay_core.rendezvous import rank_members
 from sardinequay_core.roster import Presence, Roster, Target, TargetKind
 
 from .engine_client import EngineClient
@@ -84,7 +84,7 @@
 
 def keeper_rank(pool: PoolName, data_centre: DataCentre, hosts: list[str]) -> list[str]:
     """Return hosts in the order in which they keep a pool in a data centre."""
-    return rank(f"keeper/{pool}/{data_centre}", hosts)
+    return rank_members(f"keeper/{pool}/{data_centre}", hosts)
 
 
 class KeeperTask:
@@ -166,7 +166,7 @@
         """Return whether this host is the first in the keepers' order."""
         return keeper_rank(pool, self.data_centre, hosts)[:1] == [self.me]
 
-    def update_keepership(self, pool: Pool, targets: list[Target]) -> None:
+    def update_keepership(self, pool: PoolSettings, targets: list[Target]) -> None:
         """Keep a pool's engines here, by the bundle's present policy."""
         local = [t for t in targets if t.data_centre == self.data_centre]
         share = len(local) / len(targets) if targets else 0.0
@@ -177,16 +177,16 @@
             keeper = Keeper(policy, suffix, self.clock.monotonic())
             state = self.keeperships[pool.name] = KeepershipState(keeper, {}, {})
             log.info("keepership taken", extra={"pool": pool.name})
-        state.keeper.queue.policy = self.make_policy(pool, share).loads
+        state.keeper.queue.policy = self.make_policy(pool, share).load_policy
         state.keeper.set_targets(local)
 
-    def make_policy(self, pool: Pool, share: float) -> KeeperPolicy:
+    def make_policy(self, pool: PoolSettings, share: float) -> KeeperPolicy:
         """Return a keeper's policy; the store's rate is shared by engines."""
         return KeeperPolicy(
-            lease=timedelta(seconds=self.timing.lease_s),
+            lease_duration=timedelta(seconds=self.timing.lease_s),
             longest_request=timedelta(seconds=self.limits.longest_request_s),
             report_lag=timedelta(seconds=self.timing.report_lag_s),
-            loads=LoadPolicy(
+            load_policy=LoadPolicy(
                 loads_per_s=pool.loads_per_s * share,
                 burst=LOAD_BURST,
                 stall_weight=pool.weights.load_stalls,
@@ -224,7 +224,7 @@
         if isinstance(message, Want):
             self.queue_load_request(state, envelope, message, now)
         elif isinstance(message, GiveBack):
-            state.keeper.give_back(message.holder, message.use, message.sequence)
+            state.keeper.handle_lease_return(message.holder, message.use, message.sequence)
             envelope.answer(Taken())
         else:
             state.holder_addresses[message.holder] = parse_address(message.address).unwrap()
@@ -233,13 +233,13 @@
 
     def grant_leases(
         self, keeper: Keeper, message: Acquire | Renew, now: Instant
-    ) -> list[tuple[Use, timedelta]]:
+    ) -> list[tuple[AdapterUse, timedelta]]:
         """Grant or renew leases."""
         if isinstance(message, Renew):
-            return keeper.renew(message.holder, message.uses, message.sequence, now)
-        return keeper.acquire(message.holder, message.adapter, message.sequence, now)
+            return keeper.handle_renew(message.holder, message.uses, message.sequence, now)
+        return keeper.handle_acquire(message.holder, message.adapter, message.sequence, now)
 
-    def granted_reply(self, keeper: Keeper, uses: list[tuple[Use, timedelta]]) -> Granted:
+    def granted_reply(self, keeper: Keeper, uses: list[tuple[AdapterUse, timedelta]]) -> Granted:
         """Return leases with the reported load of their engines."""
         loads = []
         for target in sorted({use.target for use, _ in uses}):
@@ -253,7 +253,7 @@
         """Queue a request for a cold adapter, or give it up at once."""
         ticket = next(self.ticket_ids)
         deadline = now + timedelta(seconds=message.wait_s)
-        given_up = state.keeper.want(ticket, message.adapter, deadline, now)
+        given_up = state.keeper.handle_load_request(ticket, message.adapter, deadline, now)
         if given_up is not None:
             wait_s = given_up.retry_after.total_seconds()
             envelope.answer(Wanted(False, wait_s))
@@ -268,20 +268,20 @@
     def cancel_ticket(self, state: KeepershipState, ticket: int, adapter: AdapterRef) -> None:
         """Forget a ticket that was answered or whose holder is gone."""
         if state.tickets.pop(ticket, None) is not None:
-            state.keeper.queue.cancel(ticket, adapter)
+            state.keeper.queue.cancel_request(ticket, adapter)
 
     def handle_event(self, state: KeepershipState, event: Any) -> None:
         """Take what engines and holders answered."""
         now = self.clock.monotonic()
         if isinstance(event, ReportArrived):
-            state.keeper.take_report(event.report, event.asked_at, now)
+            state.keeper.handle_report(event.report, event.asked_at, now)
         elif isinstance(event, LoadEnded):
             self.handle_load_ended(state, event, now)
         elif isinstance(event, UnloadEnded):
             self.handle_unload_ended(state, event, now)
         elif isinstance(event, RecallEnded) and event.answer.in_flight == 0:
             order = event.order
-            state.keeper.give_back(order.holder, order.use, event.answer.sequence)
+            state.keeper.handle_lease_return(order.holder, order.use, event.answer.sequence)
         self.run_commands(state, event.pool)
 
     def handle_load_ended(self, state: KeepershipState, event: LoadEnded, now: Instant) -> None:
@@ -297,13 +297,13 @@
             took_s=event.duration.total_seconds(),
         )
         if event.error is None:
-            self.answer_tickets(state, state.keeper.load_done(use, event.duration, now))
+            self.answer_tickets(state, state.keeper.handle_load_done(use, event.duration, now))
             return
         log.warning("load failed", extra={"use": str(use), "error": str(event.error)})
         if event.error.fault is TargetFault.STALE_TOKEN:
-            state.keeper.superseded(use.target, now)
+            state.keeper.handle_superseded(use.target, now)
         else:
-            state.keeper.load_failed(use, now)
+            state.keeper.handle_load_failed(use, now)
 
     def answer_tickets(self, state: KeepershipState, tickets: tuple[int, ...]) -> None:
         """Wake the requests that waited for a load."""
@@ -320,11 +320,11 @@
         subject = order_id("evict", event.order.token)
         self.journal.note(subject, result, adapter=str(use.adapter), engine=use.target)
         if event.error is None:
-            state.keeper.unload_done(use, now)
+            state.keeper.handle_unload_done(use, now)
         elif event.error.fault is TargetFault.STALE_TOKEN:
-            state.keeper.superseded(use.target, now)
+            state.keeper.handle_superseded(use.target, now)
         else:
-            state.keeper.unload_failed(use)
+            state.keeper.handle_unload_failed(use)
 
     # What the core decides, carried out.
 
@@ -340,23 +340,23 @@
 
     def run_command(self, state: KeepershipState, pool: PoolName, command: Command) -> None:
         """Carry out one command."""
-        if isinstance(command, GiveUp):
+        if isinstance(command, RejectWaiter):
             envelope = state.tickets.pop(command.ticket, None)
             if envelope is not None:
                 wait_s = command.retry_after.total_seconds()
                 envelope.answer(Wanted(False, wait_s))
             return
         target = state.keeper.engines[command.use.target].target
-        if isinstance(command, OrderLoad):
+        if isinstance(command, LoadCommand):
             self.record_load_order(state, command)
             self.start_background(self.send_load(pool, target, command))
-        elif isinstance(command, OrderUnload):
+        elif isinstance(command, UnloadCommand):
             self.record_unload_order(state, command)
             self.start_background(self.send_unload(pool, target, command))
         else:
             self.start_background(self.send_recall(state, pool, command))
 
-    def record_load_order(self, state: KeepershipState, order: OrderLoad) -> None:
+    def record_load_order(self, state: KeepershipState, order: LoadCommand) -> None:
         """Note why a load was ordered."""
         adapter, now = order.use.adapter, self.clock.monotonic()
         queue = state.keeper.queue
@@ -369,10 +369,10 @@
             waiting_requests=len(waiting.deadlines) if waiting else 0,
             demand=round(queue.demand.decayed_count(adapter, now), 3),
             priority=round(queue.priority(adapter, now), 3),
-            others_waiting=[str(a) for a in queue.order(now)[:5] if a != adapter],
+            others_waiting=[str(a) for a in queue.loadable_adapters(now)[:5] if a != adapter],
         )
 
-    def record_unload_order(self, state: KeepershipState, order: OrderUnload) -> None:
+    def record_unload_order(self, state: KeepershipState, order: UnloadCommand) -> None:
         """Note why an eviction was ordered."""
         queue, now = state.keeper.queue, self.clock.monotonic()
         self.journal.note(
@@ -384,19 +384,19 @@
             leases="none can still be used",
         )
 
-    async def send_load(self, pool: PoolName, target: Target, order: OrderLoad) -> None:
+    async def send_load(self, pool: PoolName, target: Target, order: LoadCommand) -> None:
         """Order a load and wait for its end."""
         started_at = self.clock.monotonic()
         result = await self.engines.load(target, order.use, order.token)
         duration = self.clock.monotonic() - started_at
         self.inbox.tell(LoadEnded(pool, order, duration, order_error(result)))
 
-    async def send_unload(self, pool: PoolName, target: Target, order: OrderUnload) -> None:
+    async def send_unload(self, pool: PoolName, target: Target, order: UnloadCommand) -> None:
         """Order an eviction and wait for its end."""
         result = await self.engines.unload(target, order.use, order.token)
         self.inbox.tell(UnloadEnded(pool, order, order_error(result)))
 
-    async def send_recall(self, state: KeepershipState, pool: PoolName, order: OrderRecall) -> None:
+    async def send_recall(self, state: KeepershipState, pool: PoolName, order: RecallCommand) -> None:
         """Ask a holder to stop; a silent one's lease runs out."""
         address = state.holder_addresses.get(order.holder)
         if address is None:
@@ -440,7 +440,7 @@
 
 def pool_engines(roster: Roster, pool: PoolName) -> list[Target]:
     """Return a pool's engines over all data centres, leaving ones included."""
-    return [t for t in roster.targets_of(pool) if t.kind is TargetKind.ENGINE]
+    return [t for t in roster.targets_in_pool(pool) if t.kind is TargetKind.ENGINE]
 
 
 def live_engines(roster: Roster, pool: PoolName) -> list[Target]:
--- a/packages/daemon/src/sardinequay_daemon/load_request_handler.py
+++ b/packages/daemon/src/sardinequay_daemon/load_request_handler.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Mapping
 
 from sardinequay_core.clock import Clock, seconds
-from sardinequay_core.engine_book import EngineBook
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import Waiter
 from sardinequay_core.names import AdapterRef, TargetId
 
@@ -43,7 +43,7 @@
         if engine is None or orders_in_s == NEVER_S:
             return WantReply(False, "not ordered here")
         scheduler, adapter = engine.scheduler, message.adapter
-        scheduler.settle(now)
+        scheduler.complete_due_loads(now)
         if scheduler.is_ready(adapter):
             return WantReply(True, "resident")
         deadline = now + seconds(message.wait_s)
@@ -61,8 +61,8 @@
         """Wait until an adapter is there, or until the request is to look again."""
         scheduler, adapter = engine.scheduler, message.adapter
         ticket = 0
-        if adapter not in scheduler.coming:
-            ticket = scheduler.want(adapter, waiter)
+        if adapter not in scheduler.loading_until:
+            ticket = scheduler.add_waiter(adapter, waiter)
         future = engine.add_load_waiter(adapter)
         engine.wake.set()
         try:
@@ -70,18 +70,18 @@
                 await future
             return WantReply(True, "loaded")
         except TimeoutError:
-            scheduler.cancel(adapter, ticket)
+            scheduler.cancel_waiter(adapter, ticket)
             return self.queued_reply(scheduler, adapter, waiter)
         except asyncio.CancelledError:
             if future.cancelled() and message.target not in self.managed_engines:
                 return WantReply(False, "ordering ended")
             raise
         finally:
-            scheduler.cancel(adapter, ticket)
+            scheduler.cancel_waiter(adapter, ticket)
             engine.remove_load_waiter(adapter, future)
 
     def queued_reply(
-        self, scheduler: EngineBook, adapter: AdapterRef, waiter: Waiter
+        self, scheduler: EngineScheduler, adapter: AdapterRef, waiter: Waiter
     ) -> WantReply:
         """Return how long a request that has waited would still wait."""
         orders_in_s = self.orders_in_s()
--- a/packages/daemon/src/sardinequay_daemon/managed_engine.py
+++ b/packages/daemon/src/sardinequay_daemon/managed_engine.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 
 from sardinequay_core.catalogue import PublishedTarget
-from sardinequay_core.engine_book import EngineBook
-from sardinequay_core.engine_orders import LoadAdapter, LoadModel, Order, UnloadAdapter
+from sardinequay_core.engine_scheduler import EngineScheduler
+from sardinequay_core.engine_orders import LoadAdapter, LoadModel, EngineOrder, UnloadAdapter
 from sardinequay_core.names import AdapterRef
 
 
@@ -14,7 +14,7 @@
     """An engine that this host orders: its book, and the task that carries it out."""
 
     published: PublishedTarget
-    scheduler: EngineBook
+    scheduler: EngineScheduler
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     load_waiters: dict[AdapterRef, list[asyncio.Future[None]]] = field(default_factory=dict)
     task: asyncio.Task[None] | None = None
@@ -43,7 +43,7 @@
                     future.set_result(None)
 
 
-def order_subject(order: Order) -> str:
+def order_subject(order: EngineOrder) -> str:
     """Return what an order is about."""
     if isinstance(order, LoadModel):
         return order.model
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -13,10 +13,10 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
-from sardinequay_core.engine_book import EngineBook
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import (
     AskReport,
-    Order,
+    EngineOrder,
     Rest,
 )
 from sardinequay_core.names import HostId, TargetId, parse_adapter_ref
@@ -201,10 +201,10 @@
             },
         )
         engine.published = published
-        engine.scheduler = EngineBook(
-            previous.target, previous.places, published.incarnation, previous.number + 1
+        engine.scheduler = EngineScheduler(
+            previous.target, previous.max_adapters, published.incarnation, previous.change_number + 1
         )
-        engine.scheduler.in_doubt(self.clock.monotonic())
+        engine.scheduler.mark_in_doubt(self.clock.monotonic())
         engine.wake.set()
 
     def add_engine(self, published: PublishedTarget) -> None:
@@ -214,12 +214,12 @@
         pool = config.pools[published.target.pool].engines if config else None
         if pool is None or target_id in self.managed_engines:
             return
-        scheduler = EngineBook(target_id, pool.adapter_slots, published.incarnation)
+        scheduler = EngineScheduler(target_id, pool.adapter_slots, published.incarnation)
         received = self.peer_holdings.get(target_id)
         inherited = received.holdings if received is not None else None
         if inherited is not None and inherited.incarnation >= scheduler.incarnation:
             scheduler.incarnation = inherited.incarnation
-            scheduler.times.restore_recent(parse_adapter_ref(t).unwrap() for t in inherited.recent)
+            scheduler.load_times.restore_recent(parse_adapter_ref(t).unwrap() for t in inherited.recent)
         engine = self.managed_engines[target_id] = ManagedEngine(published, scheduler)
         engine.task = asyncio.create_task(self.run_scheduler(engine))
 
@@ -245,7 +245,7 @@
                 await self.wait_for_wake(engine, step.for_s)
             elif isinstance(step, AskReport):
                 await self.request_report(engine)
-            elif self.candidate.may_order(now):
+            elif self.candidate.can_order(now):
                 await self.send_order(engine, step)
             else:
                 await self.wait_for_wake(engine, LEASE_POLL_S)
@@ -264,15 +264,15 @@
         pool = config.pools.get(engine.published.target.pool) if config else None
         if pool is None or pool.engines is None:
             return
-        engine.scheduler.places = pool.engines.adapter_capacity(engine.scheduler.models)
-        engine.scheduler.model_wanted = None
-        if not engine.scheduler.models and engine.scheduler.orders is not None:
-            engine.scheduler.model_wanted = self.least_replicated_model(pool, pool.engines)
+        engine.scheduler.max_adapters = pool.engines.adapter_capacity(engine.scheduler.models)
+        engine.scheduler.requested_model = None
+        if not engine.scheduler.models and engine.scheduler.accepted_orders is not None:
+            engine.scheduler.requested_model = self.least_replicated_model(pool, pool.engines)
 
     def least_replicated_model(self, pool: TargetPool, engines: EnginePool) -> str | None:
         """Return the model that the fewest engines of a pool hold."""
         held = dict.fromkeys(engines.loadable_models(), 0)
-        for other in self.catalogue.live(pool.name):
+        for other in self.catalogue.live_targets(pool.name):
             for model in other.models & held.keys():
                 held[model] += 1
         return min(held, key=lambda m: (held[m], m), default=None)
@@ -289,9 +289,9 @@
                     engine, replace(engine.published, incarnation=status.incarnation)
                 )
                 return
-            number = engine.scheduler.number
-            engine.scheduler.take_report(status, asked_at, now)
-            if engine.scheduler.number != number:
+            number = engine.scheduler.change_number
+            engine.scheduler.apply_report(status, asked_at, now)
+            if engine.scheduler.change_number != number:
                 self.log_holdings(engine, "report")
                 self.on_holdings_changed()
             return
@@ -299,15 +299,15 @@
         log.info("no report", extra={"target": engine.scheduler.target, "detail": detail})
         await self.wait_for_wake(engine, REPORT_RETRY_PAUSE_S)
 
-    async def send_order(self, engine: ManagedEngine, order: Order) -> None:
+    async def send_order(self, engine: ManagedEngine, order: EngineOrder) -> None:
         """Send one order and enter its result."""
         scheduler, target = engine.scheduler, engine.published.target
-        expected = scheduler.expected_orders(order)
+        expected = scheduler.expected_order_count(order)
         terms = OrderTerms(self.me, self.candidate.token, expected)
-        self.candidate.ordered(self.clock.monotonic())
+        self.candidate.record_order(self.clock.monotonic())
         result = await self.engines.order(target, order, terms)
         now = self.clock.monotonic()
-        self.candidate.ordered(now)
+        self.candidate.record_order(now)
         if scheduler is not engine.scheduler:
             # The engine has started again meanwhile: the order was the last start's.
             self.record_order(engine, order, "void: the engine started again")
@@ -316,19 +316,19 @@
             reply = result.unwrap()
             if isinstance(reply, OrderAccepted):
                 outcome = "held already" if reply.holds_already else "accepted"
-                scheduler.accepted(order, reply.holds_already, now)
+                scheduler.handle_order_accepted(order, reply.holds_already, now)
             else:
                 outcome = f"refused: {reply.detail}"
                 if reply.is_stale_token:
-                    self.candidate.raise_token()
-                scheduler.refused(order, now)
+                    self.candidate.raise_refused_token()
+                scheduler.handle_order_refused(order, now)
         else:
             outcome = f"in doubt: {result.failure().detail}"
-            scheduler.in_doubt(now)
+            scheduler.mark_in_doubt(now)
         self.record_order(engine, order, outcome)
         self.on_holdings_changed()
 
-    def record_order(self, engine: ManagedEngine, order: Order, outcome: str) -> None:
+    def record_order(self, engine: ManagedEngine, order: EngineOrder, outcome: str) -> None:
         """Log and count one order."""
         kind = type(order).__name__
         result = outcome.partition(":")[0]
@@ -340,10 +340,10 @@
                 "kind": kind,
                 "subject": order_subject(order),
                 "token": self.candidate.token,
-                "resident": [str(a) for a in engine.scheduler.residents()],
+                "resident": [str(a) for a in engine.scheduler.open_adapters()],
                 "in_use": len(self.uses.counts_on(engine.scheduler.target)),
-                "coming": len(engine.scheduler.coming),
-                "wanted": len(engine.scheduler.wanted),
+                "coming": len(engine.scheduler.loading_until),
+                "wanted": len(engine.scheduler.load_requests),
                 "outcome": outcome,
             },
         )
@@ -355,7 +355,7 @@
             extra={
                 "target": engine.scheduler.target,
                 "source": source,
-                "resident": [str(a) for a in engine.scheduler.residents()],
+                "resident": [str(a) for a in engine.scheduler.open_adapters()],
             },
         )
 
@@ -374,11 +374,11 @@
         if isinstance(message, AdapterMissing):
             if message.incarnation < engine.scheduler.incarnation:
                 return Noted()
-            engine.scheduler.missing(message.adapter, self.clock.monotonic())
+            engine.scheduler.handle_adapter_missing(message.adapter, self.clock.monotonic())
         elif message.use.count:
-            engine.scheduler.begin_use(message.use.adapter, self.clock.monotonic())
+            engine.scheduler.record_use_start(message.use.adapter, self.clock.monotonic())
         else:
-            engine.scheduler.use({message.use.adapter: 1}, self.clock.monotonic())
+            engine.scheduler.record_uses({message.use.adapter: 1}, self.clock.monotonic())
         engine.wake.set()
         return Noted()
 
@@ -411,20 +411,20 @@
             EngineHoldings(
                 e.scheduler.target,
                 self.candidate.token,
-                e.scheduler.number,
-                e.scheduler.residents(),
+                e.scheduler.change_number,
+                e.scheduler.open_adapters(),
                 {
                     str(a): e.scheduler.ready_in_s(a, now) or 0.0
-                    for a in sorted(e.scheduler.coming)
+                    for a in sorted(e.scheduler.loading_until)
                 },
-                tuple(str(a) for a in e.scheduler.times.recent),
-                len(e.scheduler.wanted),
-                e.scheduler.times.turnover_s,
+                tuple(str(a) for a in e.scheduler.load_times.recent),
+                len(e.scheduler.load_requests),
+                e.scheduler.load_times.turnover_s,
                 e.scheduler.incarnation,
-                self.uses.count_idle(e.scheduler.target, e.scheduler.residents()),
+                self.uses.count_idle(e.scheduler.target, e.scheduler.open_adapters()),
             )
             for e in self.managed_engines.values()
-            if e.scheduler.orders is not None or e.scheduler.number
+            if e.scheduler.accepted_orders is not None or e.scheduler.change_number
         )
         return self.last_holdings
 
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -88,7 +88,7 @@
 
     def other_addresses(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
-        me = self.membership.membership.me.address
+        me = self.membership.membership.self_member.address
         local_addresses = {m.address for m in self.membership.live.value}
         remote_addresses = {h.peer_address for h in self.membership.remote_hosts()}
         return sorted((local_addresses | remote_addresses) - {me})
--- a/packages/daemon/src/sardinequay_daemon/use_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/use_lease_task.py
@@ -13,11 +13,11 @@
 from returns.result import Failure, Result, Success
 
 from sardinequay_core.clock import Clock, Instant
-from sardinequay_core.leases import HolderId, LeaseTable, Use
+from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
 from sardinequay_core.membership import Member
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
-from sardinequay_core.rendezvous import rank_weighted
+from sardinequay_core.rendezvous import rank_members_weighted
 from sardinequay_core.roster import EMPTY_ROSTER, Presence, Roster, Target
 
 from .errors import PeerError
@@ -88,10 +88,10 @@
         """Take the list; targets that leave get no new work from now on."""
         self.roster = roster
         self.targets = {t.target_id: t for t in roster.targets}
-        for use, _ in self.lease_table.held():
+        for use, _ in self.lease_table.held_leases():
             target = self.targets.get(use.target)
             if target is None or target.presence is Presence.LEAVING:
-                self.lease_table.recall(use)
+                self.lease_table.handle_recall(use)
 
     def apply_members(self, members: tuple[Member, ...]) -> None:
         """Take who is alive in this data centre."""
@@ -99,17 +99,17 @@
 
     # Choosing a lease for one request.
 
-    def best_lease(self, adapter: AdapterRef) -> Use | None:
+    def best_lease(self, adapter: AdapterRef) -> AdapterUse | None:
         """Return the usable lease on the least busy engine."""
         now = self.clock.monotonic()
         usable = [
             use
-            for use in self.lease_table.usable(adapter, now)
+            for use in self.lease_table.usable_uses(adapter, now)
             if self.avoided_targets.get(use.target, now) <= now
         ]
         return min(usable, key=self.load_key, default=None)
 
-    def load_key(self, use: Use) -> tuple[int, int, Use]:
+    def load_key(self, use: AdapterUse) -> tuple[int, int, AdapterUse]:
         """Return how busy an engine is, by its last report and our own requests."""
         engine_load = self.engine_loads.get(use.target)
         held = self.lease_table.leases[use]
@@ -122,7 +122,7 @@
 
     async def obtain_lease(
         self, pool: PoolName, adapter: AdapterRef, deadline: Instant
-    ) -> Result[Use, Refusal]:
+    ) -> Result[AdapterUse, Refusal]:
         """Return a usable lease, waiting for a load if need be."""
         started_at = self.clock.monotonic()
         while True:
@@ -174,7 +174,7 @@
         """Take leases, each counted from before it was asked for."""
         for grant in granted.uses:
             expires_at = asked_at + timedelta(seconds=grant.lasts_s)
-            self.lease_table.grant(grant.use, expires_at, sequence)
+            self.lease_table.record_grant(grant.use, expires_at, sequence)
         for load in granted.loads:
             self.engine_loads[load.target] = load
 
@@ -224,7 +224,7 @@
         for target in live_engines(self.roster, pool):
             weights[target.data_centre] = weights.get(target.data_centre, 0) + 1
         now = self.clock.monotonic()
-        ranked = [DataCentre(n) for n in rank_weighted(str(adapter), weights)]
+        ranked = [DataCentre(n) for n in rank_members_weighted(str(adapter), weights)]
         return sorted(ranked, key=lambda dc: self.avoided_data_centres.get(dc, now) > now)
 
     def keeper_candidates(self, keepership: Keepership) -> Iterator[Address]:
@@ -234,7 +234,7 @@
         if local:
             hosts = {str(m.host_id): m.address for m in self.members}
         else:
-            for host in self.roster.hosts_in(keepership.data_centre):
+            for host in self.roster.hosts_in_data_centre(keepership.data_centre):
                 if host.presence is Presence.LIVE:
                     hosts[str(host.host_id)] = host.peer_address
         ranked = keeper_rank(keepership.pool, keepership.data_centre, list(hosts))
@@ -257,15 +257,15 @@
 
     # Keeping and returning leases.
 
-    def keepership_of(self, use: Use) -> Keepership | None:
+    def keepership_of(self, use: AdapterUse) -> Keepership | None:
         """Return who keeps the engine of a use."""
         target = self.targets.get(use.target)
         return Keepership(target.pool, target.data_centre) if target else None
 
     async def renew_leases(self) -> None:
         """Renew all leases, one message to each keeper."""
-        self.lease_table.expire(self.clock.monotonic())
-        held = [(k, u, n) for u, n in self.lease_table.held() if (k := self.keepership_of(u))]
+        self.lease_table.expire_idle(self.clock.monotonic())
+        held = [(k, u, n) for u, n in self.lease_table.held_leases() if (k := self.keepership_of(u))]
         held.sort(key=lambda item: (item[0].pool, item[0].data_centre))
         renewals = [
             self.renew_with_keeper(keepership, [(use, count) for _, use, count in group])
@@ -273,7 +273,7 @@
         ]
         await asyncio.gather(*renewals)
 
-    async def renew_with_keeper(self, keepership: Keepership, uses: list[tuple[Use, int]]) -> None:
+    async def renew_with_keeper(self, keepership: Keepership, uses: list[tuple[AdapterUse, int]]) -> None:
         """Renew leases with one keeper; what it does not renew is recalled."""
         sequence = self.lease_table.next_sequence()
         asked_at = self.clock.monotonic()
@@ -285,24 +285,24 @@
         self.record_granted_leases(reply, asked_at, sequence)
         renewed = {grant.use for grant in reply.uses}
         for use, _ in uses:
-            if use not in renewed and not self.lease_table.recall(use):
+            if use not in renewed and not self.lease_table.handle_recall(use):
                 self.return_lease(use)
 
     async def handle_recall(self, message: Recall) -> Recalled:
         """Stop using an adapter on an engine because its keeper asks."""
-        in_flight = self.lease_table.recall(message.use)
+        in_flight = self.lease_table.handle_recall(message.use)
         return Recalled(in_flight, self.lease_table.next_sequence())
 
-    def begin_request(self, use: Use) -> bool:
+    def begin_request(self, use: AdapterUse) -> bool:
         """Count a request in, right before its bytes leave."""
-        return self.lease_table.begin(use, self.clock.monotonic())
+        return self.lease_table.begin_request(use, self.clock.monotonic())
 
-    def end_request(self, use: Use) -> None:
+    def end_request(self, use: AdapterUse) -> None:
         """Count a request out, and return the lease if it was recalled."""
-        if self.lease_table.end(use):
+        if self.lease_table.end_request(use):
             self.return_lease(use)
 
-    def return_lease(self, use: Use) -> None:
+    def return_lease(self, use: AdapterUse) -> None:
         """Tell the keeper that a lease is returned, without waiting."""
         keepership = self.keepership_of(use)
         if keepership is None:
@@ -319,8 +319,8 @@
 
     async def return_idle_leases(self) -> None:
         """Return every lease that no request runs on, when the host stops."""
-        for use, in_flight in self.lease_table.held():
+        for use, in_flight in self.lease_table.held_leases():
             if not in_flight:
-                self.lease_table.drop(use)
+                self.lease_table.return_lease(use)
                 self.return_lease(use)
         await asyncio.gather(*self.sending)
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import seconds
-from sardinequay_core.engine_book import EngineBook
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import EngineStatus, LoadAdapter
 from sardinequay_core.names import (
     AdapterRef,
@@ -18,7 +18,7 @@
     PoolName,
     TargetId,
 )
-from sardinequay_core.order_candidate import Candidate
+from sardinequay_core.order_candidate import OrderCandidate
 from sardinequay_core.order_lease import OrderPolicy
 from sardinequay_core.residency import AdapterUses
 from sardinequay_core.roster import Target, TargetKind
@@ -45,7 +45,7 @@
     """A lease that this host holds."""
 
     def __init__(self) -> None:
-        self.candidate = Candidate(HostId("h1"), OrderPolicy(), is_holder=True)
+        self.candidate = OrderCandidate(HostId("h1"), OrderPolicy(), is_holder=True)
         self.orders_in_s = 0.0
 
     def record_lease_lost(self) -> None:
@@ -116,26 +116,26 @@
     )
     made.catalogue = catalogue(FIRST_INCARNATION)
     made.is_ordering = True
-    scheduler = EngineBook(E, 2, FIRST_INCARNATION)
-    scheduler.take_report(status_holding(FIRST_INCARNATION, A), clock.monotonic(), clock.monotonic())
+    scheduler = EngineScheduler(E, 2, FIRST_INCARNATION)
+    scheduler.apply_report(status_holding(FIRST_INCARNATION, A), clock.monotonic(), clock.monotonic())
     made.managed_engines[E] = ManagedEngine(published_engine(FIRST_INCARNATION), scheduler)
     return made
 
 
 def test_listing_of_a_later_incarnation_resets_the_scheduler(task: OrderTask, clock) -> None:
-    number = task.managed_engines[E].scheduler.number
+    number = task.managed_engines[E].scheduler.change_number
     task.apply_catalogue(catalogue(SECOND_INCARNATION))
     scheduler = task.managed_engines[E].scheduler
     assert scheduler.incarnation == SECOND_INCARNATION
-    assert not scheduler.residents()
-    assert scheduler.orders is None
-    assert scheduler.number > number
+    assert not scheduler.open_adapters()
+    assert scheduler.accepted_orders is None
+    assert scheduler.change_number > number
 
 
 def test_listing_of_an_earlier_incarnation_changes_nothing(task: OrderTask) -> None:
     task.managed_engines[E].scheduler.incarnation = SECOND_INCARNATION
     task.apply_catalogue(catalogue(FIRST_INCARNATION))
-    assert task.managed_engines[E].scheduler.residents() == (A,)
+    assert task.managed_engines[E].scheduler.open_adapters() == (A,)
 
 
 async def test_report_of_a_later_incarnation_resets_the_scheduler(
@@ -144,7 +144,7 @@
     engines.status = status_holding(SECOND_INCARNATION)
     await task.request_report(task.managed_engines[E])
     assert task.managed_engines[E].scheduler.incarnation == SECOND_INCARNATION
-    assert not task.managed_engines[E].scheduler.residents()
+    assert not task.managed_engines[E].scheduler.open_adapters()
 
 
 async def test_reply_to_an_order_of_the_previous_incarnation_is_ignored(
@@ -156,8 +156,8 @@
     task.apply_catalogue(catalogue(SECOND_INCARNATION))
     engines.may_answer.set()
     await sending
-    assert not engine.scheduler.coming
-    assert engine.scheduler.orders is None
+    assert not engine.scheduler.loading_until
+    assert engine.scheduler.accepted_orders is None
 
 
 async def test_missing_adapter_report_of_the_previous_incarnation_is_ignored(task: OrderTask) -> None:
@@ -166,11 +166,11 @@
     task.reset_scheduler(task.managed_engines[E], later)
     scheduler = task.managed_engines[E].scheduler
     now = task.clock.monotonic() + seconds(9)
-    scheduler.take_report(status_holding(SECOND_INCARNATION, A), now, now)
+    scheduler.apply_report(status_holding(SECOND_INCARNATION, A), now, now)
     await task.handle_adapter_event(AdapterMissing(E, A, FIRST_INCARNATION))
-    assert scheduler.residents() == (A,)
+    assert scheduler.open_adapters() == (A,)
     await task.handle_adapter_event(AdapterMissing(E, A, SECOND_INCARNATION))
-    assert scheduler.residents() == ()
+    assert scheduler.open_adapters() == ()
 
 
 def test_recent_holdings_are_cached_for_many_hosts(
