--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -21,7 +21,7 @@
 from .caller_requests import Envelope
 from .journal import Journal
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .progress import Progress, Refused
 from .tracing import Tracing
 
@@ -43,7 +43,7 @@
         self,
         data_centres: Sequence[DataCentre],
         policy: ClaimPolicy,
-        peers: PeerCaller,
+        peers: PeerClient,
         clock: Clock,
         metrics: Metrics,
         journal: Journal,
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -32,7 +32,7 @@
 from .content_news import news_of, take_news
 from .end_watch import BrokenRequest, EndWatch
 from .guarded_run import GuardedRun
-from .peers import PeerCaller
+from .peers import PeerClient
 from .progress import Refused, may_have_run
 
 PERMIT_CALL_S = 0.25
@@ -99,7 +99,7 @@
         quarantine: Quarantine,
         ends: EndWatch,
         fleet: Fleet,
-        peers: PeerCaller,
+        peers: PeerClient,
         clock: Clock,
     ) -> None:
         self.me = me
--- a/packages/daemon/src/sardinequay_daemon/content_messages.py
+++ b/packages/daemon/src/sardinequay_daemon/content_messages.py
@@ -7,7 +7,7 @@
 
 from sardinequay_core.names import ContentId, TargetId
 
-from .wire import register
+from .wire import register_messages
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,4 +89,4 @@
     contents: tuple[ContentNews, ...]
 
 
-register((AskPermit, ContentsReply, ContentsTold, PermitBack, PermitReply))
+register_messages((AskPermit, ContentsReply, ContentsTold, PermitBack, PermitReply))
--- a/packages/daemon/src/sardinequay_daemon/content_spread.py
+++ b/packages/daemon/src/sardinequay_daemon/content_spread.py
@@ -18,7 +18,7 @@
 from .content_news import news_of
 from .mailbox import every
 from .membership_task import MembershipTask
-from .peers import PeerCaller
+from .peers import PeerClient
 
 GATHER_S = 0.02
 """All requests that were on a target that ended are told of in one message."""
@@ -33,7 +33,7 @@
     def __init__(
         self,
         membership: MembershipTask,
-        peers: PeerCaller,
+        peers: PeerClient,
         quarantine: Quarantine,
         clock: Clock,
         random: Random,
--- a/packages/daemon/src/sardinequay_daemon/fleet_task.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_task.py
@@ -23,7 +23,7 @@
 
 from .hub_table import HubTable
 from .peer_table import Peer
-from .peers import PeerCaller
+from .peers import PeerClient
 from .serving_messages import Contact, Digest
 
 FLUSH_S = 0.02
@@ -80,7 +80,7 @@
         self,
         me: Contact,
         seeds: tuple[Address, ...],
-        caller: PeerCaller,
+        caller: PeerClient,
         clock: Clock,
         remember: timedelta,
         digest: Callable[[HostId], Digest],
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -25,7 +25,7 @@
 from sardinequay_core.views import GuardAddress, View, view_of
 
 from .mailbox import Envelope, Mailbox, every
-from .peers import PeerCaller
+from .peers import PeerClient
 from .settings import ClaimSettings
 
 JOIN_STEP_S = 0.1
@@ -60,7 +60,7 @@
         me: HostId,
         incarnation: int,
         settings: ClaimSettings,
-        peers: PeerCaller,
+        peers: PeerClient,
         clock: Clock,
     ) -> None:
         self.me = me
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -52,7 +52,7 @@
 )
 from .metrics import Metrics
 from .operators import HostStatus, OperatorServer
-from .peers import PeerCaller, PeerServer
+from .peers import PeerClient, PeerServer
 from .platform import HttpConfigurationService, HttpHostList, HttpReader
 from .rollout_task import PeerOffer, RolloutTask
 from .roster_task import RosterTask
@@ -98,7 +98,7 @@
         self.incarnation = int(clock.now().timestamp() * 1000)
         self.is_stopping = False
         self.peer_server = PeerServer(self.metrics)
-        self.peers = PeerCaller(
+        self.peers = PeerClient(
             settings.timing,
             self.metrics,
             self.listener.ip,
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -64,7 +64,7 @@
     Wanted,
 )
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .settings import LimitSettings
 from .shared_settings import TimingSettings
 
@@ -95,7 +95,7 @@
         me: HostId,
         data_centre: DataCentre,
         engines: Engines,
-        peers: PeerCaller,
+        peers: PeerClient,
         timing: TimingSettings,
         limits: LimitSettings,
         clock: Clock,
--- a/packages/daemon/src/sardinequay_daemon/lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/lease_task.py
@@ -37,7 +37,7 @@
     Wanted,
 )
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .shared_settings import TimingSettings
 
 RENEWALS_PER_LEASE = 4
@@ -58,7 +58,7 @@
         holder: HolderId,
         address: Address,
         data_centre: DataCentre,
-        peers: PeerCaller,
+        peers: PeerClient,
         timing: TimingSettings,
         clock: Clock,
         metrics: Metrics,
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -19,7 +19,7 @@
 from .mailbox import every
 from .messages import InForce, Offer, Ping, Pong, Taken
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .shared_settings import TimingSettings
 
 READERS = 2
@@ -54,7 +54,7 @@
         me: Member,
         data_centre: DataCentre,
         timing: TimingSettings,
-        peers: PeerCaller,
+        peers: PeerClient,
         clock: Clock,
         random: Random,
         metrics: Metrics,
--- a/packages/daemon/src/sardinequay_daemon/messages.py
+++ b/packages/daemon/src/sardinequay_daemon/messages.py
@@ -20,7 +20,7 @@
 from sardinequay_core.names import AdapterRef, DataCentre, Digest, PoolName, TargetId
 from sardinequay_core.roster import Roster
 
-from .wire import register
+from .wire import register_messages
 
 
 @dataclass(frozen=True, slots=True)
@@ -232,4 +232,4 @@
     | Wanted
 )
 
-register(Message.__args__)
+register_messages(Message.__args__)
--- a/packages/daemon/src/sardinequay_daemon/order_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_lease_task.py
@@ -20,7 +20,7 @@
 )
 
 from .fleet_task import FleetTask
-from .peers import PeerCaller
+from .peers import PeerClient
 from .serving_messages import Noted
 
 RENEW_S = 0.3
@@ -59,7 +59,7 @@
         self,
         me: HostId,
         data_centre: str,
-        peers: PeerCaller,
+        peers: PeerClient,
         fleet: FleetTask,
         clock: Clock,
         random: Random,
--- a/packages/daemon/src/sardinequay_daemon/peers.py
+++ b/packages/daemon/src/sardinequay_daemon/peers.py
@@ -26,25 +26,25 @@
     Frame,
     FrameError,
     FrameReader,
-    Kind,
+    FrameKind,
     encode_frame,
-    frame_of,
-    message_of,
+    encode_message,
+    decode_message,
 )
 
 READ_BYTES = 65_536
-ALIVE_PER_SILENCE = 4
+KEEPALIVES_PER_SILENCE = 4
 """Signs of life within one silence bound, so that one lost in a pause is no death."""
 
-IDLE_LINK_S = 5.0
+LINK_IDLE_TIMEOUT_S = 5.0
 """How long a link without calls is kept, in seconds: several times the longest period
 between two exchanges of a pair that goes on talking."""
 
-Handler = Callable[[Any], Awaitable[Any]]
+RequestHandler = Callable[[Any], Awaitable[Any]]
 log = logging.getLogger(__name__)
 
 
-class Connection:
+class PeerConnection:
     """What both ends of a link share: framed writing, counted by kind of message."""
 
     def __init__(self, writer: asyncio.StreamWriter, metrics: HostMetrics) -> None:
@@ -64,7 +64,7 @@
         with contextlib.suppress(OSError, RuntimeError):
             self.writer.transport.abort()
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the connection has ended, whatever ended it.
 
         The stream keeps a reset for whoever waits here; if nobody does, the event loop
@@ -74,7 +74,7 @@
             await self.writer.wait_closed()
 
 
-class Link(Connection):
+class PeerLink(PeerConnection):
     """The calling end of one connection."""
 
     def __init__(
@@ -83,103 +83,103 @@
         writer: asyncio.StreamWriter,
         metrics: HostMetrics,
         silence_s: float,
-        idle_s: float = IDLE_LINK_S,
+        idle_s: float = LINK_IDLE_TIMEOUT_S,
     ) -> None:
         super().__init__(writer, metrics)
         self.reader = reader
         self.silence_s = silence_s
         self.idle_s = idle_s
-        self.called = asyncio.Event()
-        self.numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[Any]] = {}
-        self.heard_at = asyncio.get_running_loop().time()
+        self.call_started = asyncio.Event()
+        self.call_numbers = itertools.count(1)
+        self.pending_calls: dict[int, asyncio.Future[Any]] = {}
+        self.last_received_at = asyncio.get_running_loop().time()
         self.tasks = (
-            asyncio.create_task(self.read_loop()),
-            asyncio.create_task(self.watch_silence()),
+            asyncio.create_task(self.receive_replies()),
+            asyncio.create_task(self.monitor_silence()),
         )
         self.is_open = True
 
     async def call(self, message: Any) -> Any:
         """Send a request and wait for its reply."""
-        number = next(self.numbers)
+        number = next(self.call_numbers)
         future = asyncio.get_running_loop().create_future()
-        if not self.waiting:
-            self.heard_at = asyncio.get_running_loop().time()
-        self.waiting[number] = future
-        self.called.set()
+        if not self.pending_calls:
+            self.last_received_at = asyncio.get_running_loop().time()
+        self.pending_calls[number] = future
+        self.call_started.set()
         try:
-            self.send(frame_of(Kind.REQUEST, number, message))
+            self.send(encode_message(FrameKind.REQUEST, number, message))
             return await future
         finally:
-            self.waiting.pop(number, None)
+            self.pending_calls.pop(number, None)
 
-    async def read_loop(self) -> None:
+    async def receive_replies(self) -> None:
         """Hand replies to those who wait for them."""
         frames = FrameReader()
         try:
             while data := await self.reader.read(READ_BYTES):
-                self.heard_at = asyncio.get_running_loop().time()
+                self.last_received_at = asyncio.get_running_loop().time()
                 for frame in frames.feed(data):
-                    self.take(frame)
-            self.fail("closed by the peer")
+                    self.complete_call(frame)
+            self.close_with_error("closed by the peer")
         except (OSError, FrameError) as error:
-            self.fail(str(error))
-        await self.closed()
+            self.close_with_error(str(error))
+        await self.wait_closed()
 
-    def take(self, frame: Frame) -> None:
+    def complete_call(self, frame: Frame) -> None:
         """Complete the call that a frame answers."""
-        future = self.waiting.get(frame.correlation)
-        if future is None or future.done() or frame.kind is Kind.ALIVE:
+        future = self.pending_calls.get(frame.correlation)
+        if future is None or future.done() or frame.kind is FrameKind.ALIVE:
             return
-        if frame.kind is Kind.REPLY:
-            future.set_result(message_of(frame))
+        if frame.kind is FrameKind.REPLY:
+            future.set_result(decode_message(frame))
         else:
             detail = frame.body.decode(errors="replace")
             future.set_exception(PeerError("", detail))
 
-    async def watch_silence(self) -> None:
+    async def monitor_silence(self) -> None:
         """Ask for signs of life while calls wait; fail them when none come."""
         while self.is_open:
-            if not self.waiting and not await self.is_called_again():
-                self.fail("idle")
+            if not self.pending_calls and not await self.wait_for_call():
+                self.close_with_error("idle")
                 return
-            await asyncio.sleep(self.silence_s / ALIVE_PER_SILENCE)
-            if not self.waiting:
+            await asyncio.sleep(self.silence_s / KEEPALIVES_PER_SILENCE)
+            if not self.pending_calls:
                 continue
-            silent_s = asyncio.get_running_loop().time() - self.heard_at
+            silent_s = asyncio.get_running_loop().time() - self.last_received_at
             if silent_s > self.silence_s:
-                self.fail(f"silent for {silent_s:.1f} s")
+                self.close_with_error(f"silent for {silent_s:.1f} s")
                 return
-            self.send(Frame(Kind.ALIVE, 0))
+            self.send(Frame(FrameKind.ALIVE, 0))
 
-    async def is_called_again(self) -> bool:
+    async def wait_for_call(self) -> bool:
         """Wait for the next call; return whether one came before the link is idle."""
-        self.called.clear()
+        self.call_started.clear()
         try:
             async with asyncio.timeout(self.idle_s):
-                await self.called.wait()
+                await self.call_started.wait()
         except TimeoutError:
-            return bool(self.waiting)
+            return bool(self.pending_calls)
         return True
 
-    def fail(self, detail: str) -> None:
+    def close_with_error(self, detail: str) -> None:
         """Close the link and fail the calls that wait on it."""
         if not self.is_open:
             return
         self.is_open = False
         self.close()
-        for future in self.waiting.values():
+        for future in self.pending_calls.values():
             if not future.done():
                 future.set_exception(PeerError("", detail))
 
     def stop(self) -> None:
         """End the link's tasks."""
-        self.fail("this host is stopping")
+        self.close_with_error("this host is stopping")
         for task in self.tasks:
             task.cancel()
 
 
-class PeerCaller:
+class PeerClient:
     """Calls to any entry host, over one link to each.
 
     Parameters
@@ -194,15 +194,15 @@
         metrics: HostMetrics,
         source_ip: str,
         tls: ssl.SSLContext | None = None,
-        idle_s: float = IDLE_LINK_S,
+        idle_s: float = LINK_IDLE_TIMEOUT_S,
     ) -> None:
         self.timing = timing
         self.metrics = metrics
         self.source = (source_ip, 0)
         self.tls = tls
         self.idle_s = idle_s
-        self.links: dict[Address, Link] = {}
-        self.opening: dict[Address, asyncio.Lock] = {}
+        self.links: dict[Address, PeerLink] = {}
+        self.connect_locks: dict[Address, asyncio.Lock] = {}
 
     async def call(
         self, address: Address, message: Any, timeout_s: float | None = None
@@ -211,7 +211,7 @@
         bound_s = self.timing.call_timeout_s if timeout_s is None else timeout_s
         try:
             async with asyncio.timeout(bound_s):
-                link = await self.link(address)
+                link = await self.open_link(address)
                 return Success(await link.call(message))
         except TimeoutError:
             return Failure(PeerError(str(address), f"no answer in {bound_s} s"))
@@ -220,27 +220,27 @@
         except (OSError, FrameError) as error:
             return Failure(PeerError(str(address), str(error)))
 
-    async def link(self, address: Address) -> Link:
+    async def open_link(self, address: Address) -> PeerLink:
         """Return the open link to a host, or open one."""
-        async with self.opening.setdefault(address, asyncio.Lock()):
+        async with self.connect_locks.setdefault(address, asyncio.Lock()):
             link = self.links.get(address)
             if link is None or not link.is_open:
                 if link is not None:
                     link.stop()
-                link = self.links[address] = await self.open(address)
+                link = self.links[address] = await self.connect(address)
             return link
 
-    async def open(self, address: Address) -> Link:
+    async def connect(self, address: Address) -> PeerLink:
         """Connect to a host."""
         async with asyncio.timeout(self.timing.connect_timeout_s):
             reader, writer = await asyncio.open_connection(
                 address.ip, address.port, ssl=self.tls, local_addr=self.source
             )
-        link = Link(reader, writer, self.metrics, self.timing.silence_s, self.idle_s)
-        link.tasks[0].add_done_callback(lambda _: self.forget(address, link))
+        link = PeerLink(reader, writer, self.metrics, self.timing.silence_s, self.idle_s)
+        link.tasks[0].add_done_callback(lambda _: self.drop_link(address, link))
         return link
 
-    def forget(self, address: Address, link: Link) -> None:
+    def drop_link(self, address: Address, link: PeerLink) -> None:
         """Drop a link that has ended."""
         if self.links.get(address) is link:
             del self.links[address]
@@ -256,10 +256,10 @@
 
     def __init__(self, metrics: HostMetrics) -> None:
         self.metrics = metrics
-        self.handlers: dict[type, Handler] = {}
-        self.connections: set[Connection] = set()
+        self.handlers: dict[type, RequestHandler] = {}
+        self.connections: set[PeerConnection] = set()
 
-    def register(self, kind: type, handler: Handler) -> None:
+    def register(self, kind: type, handler: RequestHandler) -> None:
         """Have requests of one type answered by a handler."""
         self.handlers[kind] = handler
 
@@ -267,19 +267,19 @@
         self, address: Address, tls: ssl.SSLContext | None = None
     ) -> asyncio.Server:
         """Listen."""
-        return await asyncio.start_server(self.serve, address.ip, address.port, ssl=tls)
+        return await asyncio.start_server(self.serve_connection, address.ip, address.port, ssl=tls)
 
-    async def serve(
+    async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Serve one connection until it ends, then cancel what it still asked for."""
-        connection = Connection(writer, self.metrics)
+        connection = PeerConnection(writer, self.metrics)
         self.connections.add(connection)
         frames, running = FrameReader(), set[asyncio.Task[None]]()
         try:
             while data := await reader.read(READ_BYTES):
                 for frame in frames.feed(data):
-                    self.start_answer(connection, frame, running)
+                    self.start_request(connection, frame, running)
         except (OSError, FrameError) as error:
             log.info("peer connection ended", extra={"error": str(error)})
         finally:
@@ -287,30 +287,30 @@
                 task.cancel()
             self.connections.discard(connection)
             connection.close()
-            await connection.closed()
+            await connection.wait_closed()
 
-    def start_answer(
-        self, connection: Connection, frame: Frame, running: set[asyncio.Task[None]]
+    def start_request(
+        self, connection: PeerConnection, frame: Frame, running: set[asyncio.Task[None]]
     ) -> None:
         """Answer a request in a task of its own, and a sign of life at once."""
-        if frame.kind is Kind.ALIVE:
+        if frame.kind is FrameKind.ALIVE:
             connection.send(frame)
             return
-        task = asyncio.create_task(self.answer(connection, frame))
+        task = asyncio.create_task(self.handle_request(connection, frame))
         running.add(task)
         task.add_done_callback(running.discard)
 
-    async def answer(self, connection: Connection, frame: Frame) -> None:
+    async def handle_request(self, connection: PeerConnection, frame: Frame) -> None:
         """Answer one request."""
         try:
-            message = message_of(frame)
+            message = decode_message(frame)
             handler = self.handlers.get(type(message))
             if handler is None:
                 raise FrameError(f"{frame.tag} is no request")
             reply = await handler(message)
-            connection.send(frame_of(Kind.REPLY, frame.correlation, reply))
+            connection.send(encode_message(FrameKind.REPLY, frame.correlation, reply))
         except FrameError as error:
-            failure = Frame(Kind.FAILURE, frame.correlation, "", str(error).encode())
+            failure = Frame(FrameKind.FAILURE, frame.correlation, "", str(error).encode())
             connection.send(failure)
 
     def close(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/rollout_task.py
+++ b/packages/daemon/src/sardinequay_daemon/rollout_task.py
@@ -27,7 +27,7 @@
 from .mailbox import Mailbox
 from .messages import BlobsReply, FetchBlobs, FetchRoot, InForce, RootReply
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .platform import ConfigurationService, Value
 from .shared_settings import TimingSettings
 
@@ -64,7 +64,7 @@
         self,
         trust: Trust,
         service: ConfigurationService,
-        peers: PeerCaller,
+        peers: PeerClient,
         timing: TimingSettings,
         metrics: Metrics,
         journal: Journal,
--- a/packages/daemon/src/sardinequay_daemon/roster_task.py
+++ b/packages/daemon/src/sardinequay_daemon/roster_task.py
@@ -14,7 +14,7 @@
 from .mailbox import Mailbox
 from .messages import FetchRoster, RosterReply
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .platform import HostList
 from .shared_settings import TimingSettings
 
@@ -36,7 +36,7 @@
     def __init__(
         self,
         host_list: HostList,
-        peers: PeerCaller,
+        peers: PeerClient,
         timing: TimingSettings,
         metrics: Metrics,
         is_reader: Callable[[], bool],
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -29,7 +29,7 @@
 from .host_pages import pages_app
 from .order_lease_task import OrderLeaseTask
 from .order_task import OrderTask
-from .peers import PeerCaller, PeerServer
+from .peers import PeerClient, PeerServer
 from .relay import Relay
 from .relay_server import RelayServer, readiness_app
 from .relay_state import RelayState
@@ -116,7 +116,7 @@
         self.me = Contact(profile.host_id, profile.data_centre, str(profile.peers))
         self.metrics = ServingMetrics(profile.host_id, profile.data_centre)
         self.peer_server = PeerServer(self.metrics)
-        self.peers = PeerCaller(PEER_TIMING, self.metrics, profile.peers.ip)
+        self.peers = PeerClient(PEER_TIMING, self.metrics, profile.peers.ip)
         order_policy = OrderPolicy(quiet=bounds.order_quiet)
         self.fleet = FleetTask(
             self.me,
--- a/packages/daemon/src/sardinequay_daemon/serving_messages.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_messages.py
@@ -16,7 +16,7 @@
 
 from .content_messages import ContentNews
 from .serving_ports import StoreItem
-from .wire import register
+from .wire import register_messages
 
 
 @dataclass(frozen=True, slots=True)
@@ -265,7 +265,7 @@
     """The answer to a message that asks for nothing."""
 
 
-register(
+register_messages(
     (
         AdapterMissing,
         Ballot,
--- a/packages/daemon/src/sardinequay_daemon/wants.py
+++ b/packages/daemon/src/sardinequay_daemon/wants.py
@@ -6,7 +6,7 @@
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.names import AdapterRef, TargetId
 
-from .peers import PeerCaller
+from .peers import PeerClient
 from .relay_state import RelayState
 from .serving_messages import (
     AdapterMissing,
@@ -25,7 +25,7 @@
     """Asks for adapters."""
 
     state: RelayState
-    peers: PeerCaller
+    peers: PeerClient
     tellings: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def ask(self, message: WantAdapter) -> WantReply:
--- a/packages/daemon/src/sardinequay_daemon/wire.py
+++ b/packages/daemon/src/sardinequay_daemon/wire.py
@@ -22,17 +22,17 @@
 """Above the largest honest frame: a page of a handover, or the leaves of a bundle."""
 
 
-BY_TAG: dict[str, type] = {}
+MESSAGE_TYPES: dict[str, type] = {}
 """Types of messages by their tag. Modules that define messages enter them, so that a
 host loads only those that it speaks, and starts sooner."""
 
 
-def register(kinds: Iterable[type]) -> None:
+def register_messages(kinds: Iterable[type]) -> None:
     """Enter types of messages that frames may carry."""
-    BY_TAG.update({kind.__name__: kind for kind in kinds})
+    MESSAGE_TYPES.update({kind.__name__: kind for kind in kinds})
 
 
-class Kind(IntEnum):
+class FrameKind(IntEnum):
     """What a frame is."""
 
     REQUEST = 0
@@ -55,7 +55,7 @@
 class Frame:
     """One frame; `body` is the packed message, compressed or not."""
 
-    kind: Kind
+    kind: FrameKind
     correlation: int
     tag: str = ""
     body: bytes = b""
@@ -75,7 +75,7 @@
     return bytes(packed)
 
 
-def frame_of(kind: Kind, correlation: int, message: Any) -> Frame:
+def encode_message(kind: FrameKind, correlation: int, message: Any) -> Frame:
     """Return the frame that carries a message."""
     body = msgspec.msgpack.encode(message)
     tag = type(message).__name__
@@ -85,7 +85,7 @@
     return Frame(kind, correlation, tag, packed, is_compressed=True)
 
 
-def body_of(frame: Frame) -> bytes:
+def decompress_body(frame: Frame) -> bytes:
     """Return a frame's body as it was before it was compressed."""
     if not frame.is_compressed:
         return frame.body
@@ -99,13 +99,13 @@
     return body
 
 
-def message_of(frame: Frame) -> Any:
+def decode_message(frame: Frame) -> Any:
     """Return the message that a frame carries, checked against its type."""
-    kind = BY_TAG.get(frame.tag)
+    kind = MESSAGE_TYPES.get(frame.tag)
     if kind is None:
         raise FrameError(f"unknown message {frame.tag!r}")
     try:
-        return msgspec.msgpack.decode(body_of(frame), type=kind)
+        return msgspec.msgpack.decode(decompress_body(frame), type=kind)
     except msgspec.DecodeError as error:
         raise FrameError(f"{frame.tag}: {error}") from error
 
@@ -121,12 +121,12 @@
         try:
             self.unpacker.feed(data)
             for item in self.unpacker:
-                yield parse(item)
+                yield parse_frame(item)
         except (msgpack.exceptions.UnpackException, ValueError) as error:
             raise FrameError(f"not a frame: {error}") from error
 
 
-def parse(item: Any) -> Frame:
+def parse_frame(item: Any) -> Frame:
     """Check one unpacked item's shape."""
     if not isinstance(item, list) or len(item) != FRAME_PARTS:
         raise FrameError(f"a frame has {FRAME_PARTS} parts")
@@ -135,4 +135,4 @@
         raise FrameError("wrong types in a frame")
     if not (isinstance(body, bytes) and isinstance(is_compressed, bool)):
         raise FrameError("wrong type of a frame's body")
-    return Frame(Kind(kind), correlation, tag, body, is_compressed)
+    return Frame(FrameKind(kind), correlation, tag, body, is_compressed)
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -9,7 +9,7 @@
 from sardinequay_core.fleet_topology import Scope
 from sardinequay_core.names import HostId, parse_address
 from sardinequay_daemon.fleet_task import FleetTask
-from sardinequay_daemon.peers import PeerCaller
+from sardinequay_daemon.peers import PeerClient
 from sardinequay_daemon.serving_messages import Contact, Digest
 
 from .conftest import TurnedClock
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def fleet(clock: TurnedClock, metrics, timing) -> FleetTask:
-    caller = PeerCaller(timing, metrics, "127.0.0.1")
+    caller = PeerClient(timing, metrics, "127.0.0.1")
     seeds = (parse_address("127.0.0.1:12").unwrap(),)
     return FleetTask(
         ME, seeds, caller, clock, timedelta(seconds=30), lambda _: digest("h1")
@@ -114,7 +114,7 @@
     readers = 0
     for me in names:
         mine = digest(me).host
-        caller = PeerCaller(timing, metrics, "127.0.0.1")
+        caller = PeerClient(timing, metrics, "127.0.0.1")
         made = FleetTask(mine, (), caller, clock, timedelta(30), lambda _: digest("h1"))
         for other in names:
             made.hear(digest(other))
--- a/packages/daemon/tests/test_peers.py
+++ b/packages/daemon/tests/test_peers.py
@@ -12,7 +12,7 @@
 from sardinequay_core.names import Address
 from sardinequay_daemon.messages import FetchRoot, FetchRoster, RootReply
 from sardinequay_daemon.metrics import Metrics
-from sardinequay_daemon.peers import PeerCaller, PeerServer
+from sardinequay_daemon.peers import PeerClient, PeerServer
 from sardinequay_daemon.shared_settings import TimingSettings
 
 IP = "127.0.0.1"
@@ -29,13 +29,13 @@
 
 
 @pytest.fixture
-async def caller(metrics: Metrics, timing: TimingSettings) -> AsyncIterator[PeerCaller]:
-    made = PeerCaller(timing, metrics, IP)
+async def caller(metrics: Metrics, timing: TimingSettings) -> AsyncIterator[PeerClient]:
+    made = PeerClient(timing, metrics, IP)
     yield made
     made.close()
 
 
-async def test_call_is_answered(server, caller: PeerCaller) -> None:
+async def test_call_is_answered(server, caller: PeerClient) -> None:
     made, address = server
 
     async def answer(_: FetchRoot) -> RootReply:
@@ -45,7 +45,7 @@
     assert await caller.call(address, FetchRoot()) == Success(RootReply(b"root"))
 
 
-async def test_late_answers_go_to_their_own_calls(server, caller: PeerCaller) -> None:
+async def test_late_answers_go_to_their_own_calls(server, caller: PeerClient) -> None:
     made, address = server
     delays = iter((0.2, 0.1, 0.0))
 
@@ -60,19 +60,19 @@
     assert answers == [b"0.2", b"0.1", b"0.0"]
 
 
-async def test_request_without_handler_is_refused(server, caller: PeerCaller) -> None:
+async def test_request_without_handler_is_refused(server, caller: PeerClient) -> None:
     _, address = server
     answer = await caller.call(address, FetchRoster())
     assert "no request" in str(answer.failure())
 
 
-async def test_unreachable_host_is_an_error(caller: PeerCaller) -> None:
+async def test_unreachable_host_is_an_error(caller: PeerClient) -> None:
     answer = await caller.call(Address(IP, 1), FetchRoot())
     assert isinstance(answer, Failure)
 
 
 async def test_long_call_to_a_live_host_is_not_taken_for_silence(
-    server, caller: PeerCaller, timing: TimingSettings
+    server, caller: PeerClient, timing: TimingSettings
 ) -> None:
     made, address = server
 
@@ -85,7 +85,7 @@
 
 
 async def test_silent_link_fails_its_calls_and_is_replaced(
-    caller: PeerCaller, metrics: Metrics
+    caller: PeerClient, metrics: Metrics
 ) -> None:
     connections = 0
 
@@ -104,7 +104,7 @@
 
 
 async def test_garbage_closes_only_its_own_connection(
-    server, caller: PeerCaller
+    server, caller: PeerClient
 ) -> None:
     made, address = server
 
@@ -119,7 +119,7 @@
 
 
 async def test_reset_by_the_peer_leaves_no_error_behind(
-    server, caller: PeerCaller
+    server, caller: PeerClient
 ) -> None:
     """A stream that was reset keeps its error until somebody looks at it."""
     made, address = server
@@ -159,7 +159,7 @@
         return RootReply(b"root")
 
     made.register(FetchRoot, answer)
-    caller = PeerCaller(timing, metrics, IP, idle_s=0.05)
+    caller = PeerClient(timing, metrics, IP, idle_s=0.05)
     await caller.call(address, FetchRoot())
     async with asyncio.timeout(5):
         while caller.links or made.connections:
--- a/packages/daemon/tests/test_rollout_task.py
+++ b/packages/daemon/tests/test_rollout_task.py
@@ -14,7 +14,7 @@
 from sardinequay_daemon.errors import PlatformError
 from sardinequay_daemon.journal import Journal
 from sardinequay_daemon.metrics import Metrics
-from sardinequay_daemon.peers import PeerCaller
+from sardinequay_daemon.peers import PeerClient
 from sardinequay_daemon.platform import Value
 from sardinequay_daemon.rollout_task import RolloutTask
 from sardinequay_daemon.shared_settings import TimingSettings
@@ -64,7 +64,7 @@
 def task(
     service: FakeService, timing: TimingSettings, metrics: Metrics, clock
 ) -> RolloutTask:
-    peers = PeerCaller(timing, metrics, "127.0.0.1")
+    peers = PeerClient(timing, metrics, "127.0.0.1")
     made = RolloutTask(
         TRUST, service, peers, timing, metrics, Journal(clock), clock, lambda: True
     )
--- a/packages/daemon/tests/test_tls.py
+++ b/packages/daemon/tests/test_tls.py
@@ -15,7 +15,7 @@
 from sardinequay_daemon.errors import StartError
 from sardinequay_daemon.messages import FetchRoot, RootReply
 from sardinequay_daemon.metrics import Metrics
-from sardinequay_daemon.peers import PeerCaller, PeerServer
+from sardinequay_daemon.peers import PeerClient, PeerServer
 from sardinequay_daemon.settings import TlsSettings
 from sardinequay_daemon.shared_settings import TimingSettings
 from sardinequay_daemon.tls import client_context, server_context
@@ -72,7 +72,7 @@
     ours = TlsSettings(
         *[str(tmp_path / n) for n in ("ours.pem", "ours.key", "ours.pem")]
     )
-    caller = PeerCaller(timing, metrics, IP, client_context(ours))
+    caller = PeerClient(timing, metrics, IP, client_context(ours))
     assert isinstance(await caller.call(address, FetchRoot()), Success)
     caller.close()
 
@@ -86,7 +86,7 @@
     shows_another: bool,
 ) -> None:
     theirs = certificate(tmp_path, "theirs") if shows_another else None
-    caller = PeerCaller(timing, metrics, IP, client_context(theirs))
+    caller = PeerClient(timing, metrics, IP, client_context(theirs))
     assert isinstance(await caller.call(address, FetchRoot()), Failure)
     caller.close()
 
--- a/packages/daemon/tests/test_wire.py
+++ b/packages/daemon/tests/test_wire.py
@@ -19,10 +19,10 @@
     Frame,
     FrameError,
     FrameReader,
-    Kind,
+    FrameKind,
     encode_frame,
-    frame_of,
-    message_of,
+    encode_message,
+    decode_message,
 )
 
 ADDRESS = Address("127.0.0.1", 1)
@@ -41,15 +41,15 @@
 
 @pytest.mark.parametrize("message", MESSAGES)
 def test_message_comes_back_as_it_was(message: object) -> None:
-    frame = frame_of(Kind.REQUEST, 5, message)
+    frame = encode_message(FrameKind.REQUEST, 5, message)
     (read,) = FrameReader().feed(encode_frame(frame))
-    assert message_of(read) == message
+    assert decode_message(read) == message
 
 
 @given(st.integers(1, 60))
 def test_frames_are_cut_wherever_the_bytes_are(size: int) -> None:
     data = b"".join(
-        encode_frame(frame_of(Kind.REPLY, n, MESSAGES[0])) for n in range(3)
+        encode_frame(encode_message(FrameKind.REPLY, n, MESSAGES[0])) for n in range(3)
     )
     reader = FrameReader()
     pieces = [data[i : i + size] for i in range(0, len(data), size)]
@@ -61,7 +61,7 @@
 def test_any_bytes_give_frames_or_a_frame_error(data: bytes) -> None:
     try:
         for frame in FrameReader().feed(data):
-            message_of(frame)
+            decode_message(frame)
     except FrameError:
         pass
 
@@ -69,16 +69,16 @@
 @given(st.binary(max_size=100), st.sampled_from(["Ping", "Handover", "Want", "x"]))
 def test_any_body_gives_a_message_or_a_frame_error(body: bytes, tag: str) -> None:
     with suppress(FrameError):
-        message_of(Frame(Kind.REQUEST, 1, tag, body))
+        decode_message(Frame(FrameKind.REQUEST, 1, tag, body))
 
 
 def test_long_body_is_compressed_and_a_bomb_is_refused() -> None:
     records = tuple(ClaimRecord(f"k{n}", AttemptId("x"), seconds(1)) for n in range(99))
-    frame = frame_of(Kind.REPLY, 1, Handover(True, 1, records=records))
+    frame = encode_message(FrameKind.REPLY, 1, Handover(True, 1, records=records))
     assert frame.is_compressed
-    assert message_of(frame).records == records
+    assert decode_message(frame).records == records
     bomb = zlib.compress(b"0" * (MAX_BODY_BYTES + 1))
     with pytest.raises(FrameError, match="exceeds"):
-        message_of(Frame(Kind.REQUEST, 1, "Handover", bomb, is_compressed=True))
+        decode_message(Frame(FrameKind.REQUEST, 1, "Handover", bomb, is_compressed=True))
     with pytest.raises(FrameError):
-        message_of(Frame(Kind.REQUEST, 1, "Handover", b"plain", is_compressed=True))
+        decode_message(Frame(FrameKind.REQUEST, 1, "Handover", b"plain", is_compressed=True))
--- a/packages/lab/src/sardinequay_lab/gossip_run.py
+++ b/packages/lab/src/sardinequay_lab/gossip_run.py
@@ -7,7 +7,7 @@
 from sardinequay_core.membership import Health, Member, Membership, MembershipPolicy
 from sardinequay_core.names import Address, HostId
 from sardinequay_daemon.messages import InForce, Ping, Pong
-from sardinequay_daemon.wire import Kind, encode_frame, frame_of
+from sardinequay_daemon.wire import FrameKind, encode_frame, encode_message
 
 NOW = seconds(1000)
 SETTLE_STEPS = 40
@@ -51,14 +51,14 @@
         if other is None:
             return
         ping = Ping(view.news(), self.in_force)
-        self.sent += len(encode_frame(frame_of(Kind.REQUEST, 1, ping)))
+        self.sent += len(encode_frame(encode_message(FrameKind.REQUEST, 1, ping)))
         if other.host_id in self.silent:
             view.unanswered(other.host_id, self.now)
             return
         far = self.views[other.host_id]
         far.hear(ping.news, self.now)
         pong = Pong(far.news(), self.in_force)
-        self.sent += len(encode_frame(frame_of(Kind.REPLY, 1, pong)))
+        self.sent += len(encode_frame(encode_message(FrameKind.REPLY, 1, pong)))
         view.hear(pong.news, self.now)
         view.answered(other.host_id, self.now)
 
--- a/packages/lab/src/sardinequay_lab/slopes.py
+++ b/packages/lab/src/sardinequay_lab/slopes.py
@@ -44,7 +44,7 @@
 from sardinequay_core.views import GuardAddress, View
 from sardinequay_daemon.messages import Keepership as KeepershipId
 from sardinequay_daemon.messages import Renew
-from sardinequay_daemon.wire import Kind, encode_frame, frame_of
+from sardinequay_daemon.wire import FrameKind, encode_frame, encode_message
 
 from .bench_path import cpu_s
 from .cluster import Cluster
@@ -254,7 +254,7 @@
     tell("memory of a guard by claims", "bytes", "claim", memory)
     tell("one vote by claims remembered, microseconds", "us", "claim", time_us)
     request = ClaimRequest(view, "k" * 40, AttemptId("a" * 32))
-    size = len(encode_frame(frame_of(Kind.REQUEST, 1, request)))
+    size = len(encode_frame(encode_message(FrameKind.REQUEST, 1, request)))
     print(f"one claim's message with one guard in the view | {size} bytes", flush=True)
 
 
@@ -323,7 +323,7 @@
         keepership = KeepershipId(PoolName("kiosk-lm"), DataCentre("tukwila"))
         uses = tuple(table.held())
         message = Renew(keepership, HolderId("tukwila-0#1"), "127.0.0.1:1", uses, 1)
-        points.append((held, len(encode_frame(frame_of(Kind.REQUEST, 1, message)))))
+        points.append((held, len(encode_frame(encode_message(FrameKind.REQUEST, 1, message)))))
     tell("one renewal by leases held, bytes", "bytes", "lease", points)
 
 
