--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -12,7 +12,7 @@
 
 from .content_messages import ContentNews
 from .content_news import news_of
-from .fleet_task import FleetTask, HeardDigest
+from .fleet_task import FleetTask, ReceivedDigest
 from .order_task import OrderTask
 from .peer_table import Peer
 from .relay_state import RelayState
@@ -57,7 +57,7 @@
 
     def digest(self, host_id: HostId) -> Digest:
         """Return what to tell a peer now."""
-        if host_id in self.fleet.missed:
+        if host_id in self.fleet.failed_exchanges:
             self.tell_anew(host_id)
         standing = self.store.standing()
         digest = Digest(
@@ -69,11 +69,11 @@
             holdings=(),
             holds_lease=self.orders.lease.is_holder,
             orders_in_s=self.orders.orders_in_s,
-            up_s=self.fleet.up_s(),
+            up_s=self.fleet.uptime_s(),
             store_revision=standing.revision,
             news_revision=standing.news_revision,
             store_age_s=standing.age_s,
-            has_missed=host_id in self.fleet.missed,
+            has_missed=host_id in self.fleet.failed_exchanges,
             contents=self.untold_contents(host_id),
         )
         if self.fleet.is_mesh:
@@ -121,7 +121,7 @@
         """Add the part of all hosts of this data centre, for another hub."""
         now = self.clock.monotonic()
         host_id = peer.contact.host_id
-        here = {p.contact.host_id for p in self.fleet.reporting()}
+        here = {p.contact.host_id for p in self.fleet.reporting_peers()}
         uses = self.state.uses_of(here, peer.contact.data_centre)
         return replace(
             digest,
@@ -147,7 +147,7 @@
             usage=self.untold_usage(host_id, Scope.FLEET),
             demand=self.most_wanted(others, now),
             live_hosts=self.fleet.live_hosts,
-            notes=HubNotes(self.untold_members(host_id), self.fleet.neighbours()),
+            notes=HubNotes(self.untold_members(host_id), self.fleet.neighbour_records()),
         )
 
     def most_wanted(self, hosts: Iterable[HostId], now: Instant) -> Demand:
@@ -155,7 +155,7 @@
         demand = self.state.demand.sum_of(hosts, now)
         return most_wanted(demand, len(self.state.catalogue.targets))
 
-    def take_digest(self, heard: HeardDigest) -> None:
+    def take_digest(self, heard: ReceivedDigest) -> None:
         """Notice that a peer started anew, or missed what it was told."""
         host_id = heard.digest.host.host_id
         if heard.has_restarted:
@@ -215,7 +215,7 @@
 
     def untold_members(self, host_id: HostId) -> tuple[Member, ...] | None:
         """Return the live hosts here, or None if a peer knows just these."""
-        members = self.fleet.members()
+        members = self.fleet.live_member_records()
         now_s = self.clock.monotonic().total_seconds()
         state = frozenset(
             (m.contact, m.is_leaving, round(now_s - m.up_s)) for m in members
--- a/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
@@ -9,7 +9,7 @@
 from sardinequay_core.usage_view import Told
 
 from .fleet_size import FleetSize
-from .fleet_task import HeardDigest
+from .fleet_task import ReceivedDigest
 
 
 class FleetQuotas:
@@ -38,13 +38,13 @@
             organisations = now.config.organisations or ()
             self.book.take_organisations(organisations, self.clock.monotonic())
 
-    def take_part(self, heard: HeardDigest) -> None:
+    def take_part(self, heard: ReceivedDigest) -> None:
         """Take what one host used, or the hosts of one data centre."""
-        self.book.hear(heard.digest.host.host_id, told_of(heard), heard.at)
+        self.book.hear(heard.digest.host.host_id, told_of(heard), heard.received_at)
 
-    def take_sum(self, heard: HeardDigest) -> None:
+    def take_sum(self, heard: ReceivedDigest) -> None:
         """Take from a hub what all other hosts used."""
-        self.book.hear_all(heard.digest.host.host_id, told_of(heard), heard.at)
+        self.book.hear_all(heard.digest.host.host_id, told_of(heard), heard.received_at)
 
     def forget(self, host_id: HostId) -> None:
         """Take that a peer is gone."""
@@ -55,7 +55,7 @@
         self.book.take_share(self.size.part(), self.clock.monotonic())
 
 
-def told_of(heard: HeardDigest) -> Told:
+def told_of(heard: ReceivedDigest) -> Told:
     """Return what a digest tells of organisations' usage."""
     digest = heard.digest
     return Told(digest.scope, digest.usage, seconds(digest.up_s), heard.has_restarted)
--- a/packages/daemon/src/sardinequay_daemon/fleet_size.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_size.py
@@ -3,8 +3,8 @@
 from sardinequay_core.clock import Clock
 from sardinequay_core.fleet_share import ASSUMED_HOSTS, FleetShare
 
-from .fleet_task import KNOWS_ALL_S, FleetTask
-from .peer_table import ALONE_AFTER
+from .fleet_task import ALL_HOSTS_KNOWN_AFTER_S, FleetTask
+from .peer_table import ASSUME_ALONE_AFTER
 
 
 class FleetSize:
@@ -32,8 +32,8 @@
     def assumed(self) -> int:
         """Return how many hosts exist as far as a host knows that has just started."""
         fleet = self.fleet
-        if not fleet.seeds or fleet.up_s() > ALONE_AFTER.total_seconds():
+        if not fleet.seeds or fleet.uptime_s() > ASSUME_ALONE_AFTER.total_seconds():
             return 1
         if fleet.joined_at is None:
             return ASSUMED_HOSTS
-        return 1 if fleet.up_s() > KNOWS_ALL_S else len(fleet.peers) + 1
+        return 1 if fleet.uptime_s() > ALL_HOSTS_KNOWN_AFTER_S else len(fleet.peers) + 1
--- a/packages/daemon/src/sardinequay_daemon/hub_table.py
+++ b/packages/daemon/src/sardinequay_daemon/hub_table.py
@@ -10,7 +10,7 @@
 from sardinequay_core.names import Address, HostId
 from sardinequay_core.rendezvous import rank
 
-from .peer_table import HUB_ALIVE_FOR, Peer, PeerTable
+from .peer_table import HUB_SILENCE_TIMEOUT, Peer, PeerTable
 from .serving_messages import Contact, HubNotes, Member, Neighbour
 
 HUB_PERIOD_S = 0.1
@@ -18,11 +18,11 @@
 """Between two exchanges with a hub, and how much longer for each host that it hears:
 0.3 s at 39 hosts. What is known of engines is at most three times as old."""
 
-HUB_READS_WITHIN_S = 2.0
+HUB_STORE_MAX_AGE_S = 2.0
 """While some hub has heard the store within this time, the others need not: it is the
 time of a watch with its bound."""
 
-NEXT_READER_S = 0.5
+SUBSTITUTE_READER_DELAY_S = 0.5
 """After so long one more host of a data centre tries to read: one that the store serves
 is found soon, and an outage costs few calls."""
 
@@ -38,41 +38,41 @@
 
     def __init__(self, me: Contact, seeds: tuple[Address, ...], clock: Clock) -> None:
         super().__init__(me, seeds, clock)
-        self.vouched: frozenset[HostId] = frozenset()
-        self.vouched_at = ZERO
-        self.fleet_hosts = 1
+        self.hub_reported_hosts: frozenset[HostId] = frozenset()
+        self.hub_reported_at = ZERO
+        self.hub_reported_live_hosts = 1
 
     # Who lives.
 
-    def present(self) -> tuple[Peer, ...]:
+    def running_peers(self) -> tuple[Peer, ...]:
         """Return the peers heard lately, and those that the hub vouches for."""
-        heard = self.heard()
-        vouched = self.vouched_members() - {p.contact.host_id for p in heard}
+        heard = self.recently_heard_peers()
+        vouched = self.recent_hub_reported_hosts() - {p.contact.host_id for p in heard}
         return (*heard, *(self.peers[v] for v in vouched if v in self.peers))
 
-    def is_present(self, peer: Peer) -> bool:
+    def is_running(self, peer: Peer) -> bool:
         """Return whether a peer is among those present."""
-        is_vouched = peer.contact.host_id in self.vouched_members()
-        return is_vouched or super().is_present(peer)
+        is_vouched = peer.contact.host_id in self.recent_hub_reported_hosts()
+        return is_vouched or super().is_running(peer)
 
-    def vouched_members(self) -> frozenset[HostId]:
+    def recent_hub_reported_hosts(self) -> frozenset[HostId]:
         """Return the hosts here that live by what a hub told lately."""
-        is_new = self.clock.monotonic() - self.vouched_at < HUB_ALIVE_FOR
-        return self.vouched if is_new else frozenset()
+        is_new = self.clock.monotonic() - self.hub_reported_at < HUB_SILENCE_TIMEOUT
+        return self.hub_reported_hosts if is_new else frozenset()
 
-    def last_sign_of(self, peer: Peer) -> Instant:
+    def last_sign_of_life(self, peer: Peer) -> Instant:
         """Return when a peer last showed that it lives, or when it became known."""
-        last = super().last_sign_of(peer)
-        if peer.contact.host_id in self.vouched:
-            return max(last, self.vouched_at)
+        last = super().last_sign_of_life(peer)
+        if peer.contact.host_id in self.hub_reported_hosts:
+            return max(last, self.hub_reported_at)
         return last
 
-    def suspect(self, host_id: HostId) -> None:
+    def mark_lost(self, host_id: HostId) -> None:
         """Take a peer that did not answer for lost until it is heard again."""
-        super().suspect(host_id)
-        if host_id in self.vouched:
-            self.vouched -= {host_id}
-            self.end_vouching((host_id,))
+        super().mark_lost(host_id)
+        if host_id in self.hub_reported_hosts:
+            self.hub_reported_hosts -= {host_id}
+            self.record_hub_removals((host_id,))
 
     @property
     def live_hosts(self) -> int:
@@ -80,13 +80,13 @@
         if self.is_mesh:
             return super().live_hosts
         if not self.is_hub():
-            return self.fleet_hosts
+            return self.hub_reported_live_hosts
         others = sum(p.live_hosts for p in self.other_hubs())
         return self.live_hosts_here() + others
 
     def live_hosts_here(self) -> int:
         """Return how many hosts of a hub's data centre serve, the hub included."""
-        return sum(1 for p in self.reporting() if not p.is_leaving) + 1
+        return sum(1 for p in self.reporting_peers() if not p.is_leaving) + 1
 
     def is_reader(self) -> bool:
         """Return whether this host reads the store for its data centre.
@@ -96,12 +96,12 @@
         """
         if self.is_mesh:
             return super().is_reader()
-        return self.is_hub() or self.is_substitute()
+        return self.is_hub() or self.is_substitute_reader()
 
-    def is_substitute(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return whether it is this host's turn to try what the hub cannot read."""
-        stale_s = self.freshest_store_age_s() - HUB_READS_WITHIN_S
-        return stale_s >= 0 and self.reader_place() < stale_s / NEXT_READER_S
+        stale_s = self.freshest_store_age_s() - HUB_STORE_MAX_AGE_S
+        return stale_s >= 0 and self.reader_rank() < stale_s / SUBSTITUTE_READER_DELAY_S
 
     # Who is the hub.
 
@@ -115,7 +115,7 @@
         holder = self.lease_holder()
         if holder is not None:
             return self.peers[holder].contact
-        here = {p.contact.host_id: p.contact for p in self.alive() if self.is_near(p)}
+        here = {p.contact.host_id: p.contact for p in self.live_peers() if self.is_near(p)}
         here[self.me.host_id] = self.me
         return here[HostId(rank("hub", here)[0])]
 
@@ -127,13 +127,13 @@
         """Return the live hubs of other data centres, the last heard of each."""
         newest: dict[str, Peer] = {}
         for peer in self.peers.values():
-            if peer.is_hub and not self.is_near(peer) and self.is_heard(peer):
+            if peer.is_hub and not self.is_near(peer) and self.is_recently_heard(peer):
                 known = newest.get(peer.contact.data_centre)
-                if known is None or (known.heard_at or ZERO) < (peer.heard_at or ZERO):
+                if known is None or (known.last_heard_at or ZERO) < (peer.last_heard_at or ZERO):
                     newest[peer.contact.data_centre] = peer
         return tuple(newest.values())
 
-    def hub_behind(self, host_id: HostId) -> HostId | None:
+    def hub_for_host(self, host_id: HostId) -> HostId | None:
         """Return the hub that speaks for a host of another data centre, if one does."""
         peer = self.peers.get(host_id)
         if self.is_mesh or peer is None or self.is_near(peer):
@@ -146,33 +146,33 @@
     def known_to_all(self) -> list[HostId]:
         """Return live hosts that all hosts know: everybody in a mesh, else the hubs."""
         if self.is_mesh:
-            return [self.me.host_id, *(p.contact.host_id for p in self.alive())]
+            return [self.me.host_id, *(p.contact.host_id for p in self.live_peers())]
         others = [p.contact.host_id for p in self.other_hubs()]
         return [self.hub().host_id, *others]
 
     def hub_period_s(self) -> float:
         """Return the time between two exchanges with a hub, in seconds."""
-        return HUB_PERIOD_S + HUB_PERIOD_PER_HOST_S * self.near_peers
+        return HUB_PERIOD_S + HUB_PERIOD_PER_HOST_S * self.near_peer_count
 
     # What hubs tell.
 
-    def reporting(self) -> tuple[Peer, ...]:
+    def reporting_peers(self) -> tuple[Peer, ...]:
         """Return the hosts of this data centre that this one, its hub, heard lately."""
-        since = self.clock.monotonic() - HUB_ALIVE_FOR
+        since = self.clock.monotonic() - HUB_SILENCE_TIMEOUT
         return tuple(
             p
             for p in self.peers.values()
-            if p.heard_at is not None and p.heard_at > since and self.is_near(p)
+            if p.last_heard_at is not None and p.last_heard_at > since and self.is_near(p)
         )
 
-    def members(self) -> tuple[Member, ...]:
+    def live_member_records(self) -> tuple[Member, ...]:
         """Return the live hosts of this data centre, for those that it has."""
         return tuple(
-            Member(p.contact, round(self.up_of(p), 1), p.is_leaving)
-            for p in self.reporting()
+            Member(p.contact, round(self.peer_uptime_s(p), 1), p.is_leaving)
+            for p in self.reporting_peers()
         )
 
-    def neighbours(self) -> tuple[Neighbour, ...]:
+    def neighbour_records(self) -> tuple[Neighbour, ...]:
         """Return the other hubs, for the hosts of this data centre."""
         now = self.clock.monotonic()
         return tuple(
@@ -180,24 +180,24 @@
                 p.contact,
                 p.orders_in_s,
                 p.store_age_s,
-                (now - (p.heard_at or ZERO)).total_seconds(),
+                (now - (p.last_heard_at or ZERO)).total_seconds(),
             )
             for p in self.other_hubs()
         )
 
-    def take_notes(self, notes: HubNotes) -> None:
+    def apply_hub_notes(self, notes: HubNotes) -> None:
         """Take from this data centre's hub which other hosts live."""
         now = self.clock.monotonic()
-        self.vouched_at = now
+        self.hub_reported_at = now
         if notes.members is not None:
             named = frozenset(m.contact.host_id for m in notes.members)
-            self.end_vouching(self.vouched - named)
-            self.vouched = named
-            self.take_members(notes.members, now)
+            self.record_hub_removals(self.hub_reported_hosts - named)
+            self.hub_reported_hosts = named
+            self.apply_members(notes.members, now)
         for neighbour in notes.neighbours:
-            self.take_neighbour(neighbour, now)
+            self.apply_neighbour(neighbour, now)
 
-    def end_vouching(self, hosts: Iterable[HostId]) -> None:
+    def record_hub_removals(self, hosts: Iterable[HostId]) -> None:
         """Take that the hub hears some hosts no more.
 
         They count among the voters for as long as hosts that fell silent to this one.
@@ -206,38 +206,38 @@
         for host_id in hosts:
             peer = self.peers.get(host_id)
             if peer is not None:
-                self.peers[host_id] = replace(peer, vouched_at=now)
+                self.peers[host_id] = replace(peer, hub_reported_at=now)
 
-    def take_members(self, members: Iterable[Member], now: Instant) -> None:
+    def apply_members(self, members: Iterable[Member], now: Instant) -> None:
         """Take the live hosts of this data centre, all but the hub."""
         for member in members:
             host_id = member.contact.host_id
             if host_id == self.me.host_id:
                 continue
-            self.note_contact(member.contact)
+            self.record_contact(member.contact)
             known = self.peers.get(host_id) or Peer(member.contact, None, now)
             leaving_since = known.leaving_since if known.is_leaving else now
             self.peers[host_id] = replace(
                 known,
                 contact=member.contact,
                 up_s=member.up_s,
-                told_at=now,
+                up_s_received_at=now,
                 is_leaving=member.is_leaving,
                 leaving_since=leaving_since,
             )
-        self.count_near()
+        self.update_near_peer_count()
 
-    def take_neighbour(self, neighbour: Neighbour, now: Instant) -> None:
+    def apply_neighbour(self, neighbour: Neighbour, now: Instant) -> None:
         """Take the hub of another data centre."""
         host_id = neighbour.contact.host_id
-        self.note_contact(neighbour.contact)
+        self.record_contact(neighbour.contact)
         known = self.peers.get(host_id) or Peer(neighbour.contact, None, now)
         heard_at = now - seconds(neighbour.age_s)
-        if known.heard_at is None or known.heard_at < heard_at:
+        if known.last_heard_at is None or known.last_heard_at < heard_at:
             self.peers[host_id] = replace(
                 known,
                 contact=neighbour.contact,
-                heard_at=heard_at,
+                last_heard_at=heard_at,
                 orders_in_s=neighbour.orders_in_s,
                 store_age_s=neighbour.store_age_s,
                 is_hub=True,
--- a/packages/daemon/src/sardinequay_daemon/order_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_lease_task.py
@@ -134,7 +134,7 @@
             not self.candidate.is_holder
             and not self.voter.is_leaving
             and since_start < self.policy.returns
-            and self.fleet.was_told_of_all
+            and self.fleet.has_received_all_contacts
             and self.fleet.lease_holder() is None
         )
 
@@ -149,7 +149,7 @@
         if now - slept_since > SLEPT_LEASES * self.policy.lease:
             log.warning("slept", extra={"for_s": (now - slept_since).total_seconds()})
             self.is_back = False
-            self.fleet.rejoin()
+            self.fleet.restart_joining()
 
     def should_stand(self) -> bool:
         """Return whether to ask for votes now."""
@@ -167,12 +167,12 @@
             return False
         # The host that started last goes first: where hosts are restarted one after
         # the other, it is the one that stays.
-        mine = (round(self.fleet.up_s()), self.me)
+        mine = (round(self.fleet.uptime_s()), self.me)
         place = sum(
             1
-            for p in self.fleet.alive()
+            for p in self.fleet.live_peers()
             if p.contact.data_centre == self.data_centre
-            and (round(self.fleet.up_of(p)), p.contact.host_id) < mine
+            and (round(self.fleet.peer_uptime_s(p)), p.contact.host_id) < mine
         )
         return now - self.no_holder_since >= seconds(CAMPAIGN_STEP_S * place)
 
@@ -193,7 +193,7 @@
         now = self.clock.monotonic()
         own = self.voter.vote(ballot, now)
         self.candidate.take(self.me, own, now, now)
-        others = sorted({*voters, *self.fleet.leaving()} - {self.me})
+        others = sorted({*voters, *self.fleet.leaving_hosts()} - {self.me})
         await asyncio.gather(*(self.ask_vote(v, ballot) for v in others))
 
     def after_canvass(self) -> None:
@@ -227,7 +227,7 @@
     async def answer_resign(self, message: Resign) -> Noted:
         """Take a holder's resignation."""
         self.voter.resign(message, self.clock.monotonic())
-        self.fleet.holds_no_more(message.holder)
+        self.fleet.record_lease_returned(message.holder)
         return Noted()
 
     def lost(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -389,7 +389,7 @@
         """
         host_id, use = message.host_id, message.use
         known = self.uses.peers.get(host_id, {})
-        hub = self.lease.fleet.hub_behind(host_id)
+        hub = self.lease.fleet.hub_for_host(host_id)
         if use.count or hub is None or (use.target, use.adapter) in known:
             self.uses.hear(host_id, use.target, use.adapter, use.count)
         else:
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -27,7 +27,7 @@
 
 from .fleet_quotas import FleetQuotas
 from .fleet_size import FleetSize
-from .fleet_task import FleetTask, HeardDigest
+from .fleet_task import FleetTask, ReceivedDigest
 from .order_task import OrderTask
 from .serving_messages import AdapterUse, Contact, EngineHoldings
 from .serving_ports import RequestTerms
@@ -114,26 +114,26 @@
         self.loads.forget_target(target_id)
         self.uses.forget_target(target_id)
 
-    def take_digest(self, heard: HeardDigest) -> None:
+    def take_digest(self, heard: ReceivedDigest) -> None:
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
         digest = heard.digest
         self.loads.measures_together = not self.fleet.is_mesh
-        self.loads.peer_life = max(PEER_SHARE_LIFE, self.fleet.longest_silence())
+        self.loads.peer_life = max(PEER_SHARE_LIFE, self.fleet.max_harmless_silence())
         match digest.scope:
             case Scope.HOST | Scope.DATA_CENTRE if self.gathers():
                 self.take_part(heard)
             case Scope.FLEET if self.fleet.hub() == digest.host:
                 self.take_sum(heard)
         for holdings in digest.holdings:
-            self.hear_holdings(holdings, heard.at)
+            self.hear_holdings(holdings, heard.received_at)
 
     def gathers(self) -> bool:
         """Return whether this host hears others' parts, not their sum from a hub."""
         return self.fleet.is_mesh or self.fleet.is_hub()
 
-    def take_part(self, heard: HeardDigest) -> None:
+    def take_part(self, heard: ReceivedDigest) -> None:
         """Take the part of one host, or of the hosts of one data centre."""
-        digest, now = heard.digest, heard.at
+        digest, now = heard.digest, heard.received_at
         host_id = digest.host.host_id
         if self.view_from is not None and not self.is_gathering(now):
             # The sum over all hosts, told until now by a hub, counts this one, too.
@@ -159,9 +159,9 @@
             self.fleet.hub_period_s()
         )
 
-    def take_sum(self, heard: HeardDigest) -> None:
+    def take_sum(self, heard: ReceivedDigest) -> None:
         """Take from this data centre's hub what all other hosts have and saw."""
-        digest, now = heard.digest, heard.at
+        digest, now = heard.digest, heard.received_at
         host_id = digest.host.host_id
         self.view_from = host_id
         self.view_at = now
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -25,7 +25,7 @@
 from .digest_writer import DigestWriter
 from .end_watch import EndWatch
 from .errors import StartError
-from .fleet_task import FleetTask, HeardDigest
+from .fleet_task import FleetTask, ReceivedDigest
 from .host_pages import pages_app
 from .order_lease_task import OrderLeaseTask
 from .order_task import OrderTask
@@ -225,12 +225,12 @@
         self.fleet.digests.subscribe(self.take_contents)
         self.fleet.digests.subscribe(self.writer.take_digest)
         self.fleet.digests.subscribe(self.take_digest)
-        self.fleet.lost.subscribe(self.state.lose_peer)
-        self.fleet.lost.subscribe(self.writer.tell_anew)
+        self.fleet.lost_peers.subscribe(self.state.lose_peer)
+        self.fleet.lost_peers.subscribe(self.writer.tell_anew)
         self.fleet.holds_lease = lambda: self.lease.is_holder
         self.lease.newest_revision = lambda: self.store.newest_revision
         server = self.peer_server
-        server.register(Digest, self.fleet.answer)
+        server.register(Digest, self.fleet.answer_digest)
         server.register(AskPermit, self.guard.answer_ask)
         server.register(PermitBack, self.guard.answer_back)
         server.register(FetchItems, self.store.answer_fetch)
@@ -260,18 +260,18 @@
         now = self.clock.monotonic()
         for holdings in self.orders.holdings():
             self.state.hear_holdings(holdings, now)
-        self.fleet.tell_soon(far=True)
+        self.fleet.request_update(far=True)
 
     def tell_catalogue(self, _: Catalogue) -> None:
         """Let the hosts that this one reads the store for know that it has changed."""
         if self.fleet.is_reader():
-            self.fleet.tell_soon(far=False)
+            self.fleet.request_update(far=False)
 
-    def take_contents(self, heard: HeardDigest) -> None:
+    def take_contents(self, heard: ReceivedDigest) -> None:
         """Take what a peer knows against contents of requests."""
         self.guard.take(heard.digest.contents)
 
-    def take_digest(self, heard: HeardDigest) -> None:
+    def take_digest(self, heard: ReceivedDigest) -> None:
         """Fetch what a peer knows of the store and this host does not."""
         digest = heard.digest
         is_idle = self.fetching is None or self.fetching.done()
@@ -388,7 +388,7 @@
             "orders_engines": self.lease.is_holder,
             "in_flight": self.server.in_flight,
             "quarantined": [asdict(held) for held in self.guard.held()],
-            "peers": sorted(p.contact.host_id for p in self.fleet.alive()),
+            "peers": sorted(p.contact.host_id for p in self.fleet.live_peers()),
             "targets": {
                 t: p.target.presence.value for t, p in catalogue.targets.items()
             },
@@ -401,7 +401,7 @@
         log.info("stopping", extra={"in_flight": self.server.in_flight})
         self.is_stopping = True
         self.lease.begin_leaving()
-        self.fleet.leave()
+        self.fleet.announce_leaving()
         await asyncio.sleep(min(KEEP_ACCEPTING_S, grace_s / 2))
         self.server.stops_at = began + seconds(grace_s)
         self.server.is_closing = True
--- a/packages/daemon/src/sardinequay_daemon/wants.py
+++ b/packages/daemon/src/sardinequay_daemon/wants.py
@@ -47,7 +47,7 @@
         reply = answer.value_or(None)
         if isinstance(reply, WantReply):
             return reply
-        self.state.fleet.suspect(keeper.host_id)
+        self.state.fleet.mark_lost(keeper.host_id)
         return WantReply(False, f"no answer: {answer}")
 
     def tell_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -47,35 +47,35 @@
 
 
 def test_heard_peers_are_alive_until_they_fall_silent(fleet, clock) -> None:
-    fleet.hear(digest("h2"))
-    fleet.hear(digest("h3", "zb"))
+    fleet.handle_digest(digest("h2"))
+    fleet.handle_digest(digest("h3", "zb"))
     assert fleet.live_hosts == 3
     clock.turn(1.5)
     assert fleet.live_hosts == 1
 
 
 def test_silent_peer_still_counts_among_the_voters(fleet, clock) -> None:
-    fleet.hear(digest("h2"))
-    fleet.hear(digest("h3", "zb"))
+    fleet.handle_digest(digest("h2"))
+    fleet.handle_digest(digest("h3", "zb"))
     clock.turn(20)
-    fleet.forget_silent(clock.monotonic())
+    fleet.prune_silent_peers(clock.monotonic())
     assert fleet.voters(LEASE) == ("h2",)
     clock.turn(11)
-    fleet.forget_silent(clock.monotonic())
+    fleet.prune_silent_peers(clock.monotonic())
     assert fleet.voters(LEASE) == ()
 
 
 def test_leaving_peer_counts_until_its_votes_have_run_out(fleet, clock) -> None:
-    fleet.hear(digest("h2"))
-    fleet.hear(digest("h2", is_leaving=True))
+    fleet.handle_digest(digest("h2"))
+    fleet.handle_digest(digest("h2", is_leaving=True))
     clock.turn(0.9)
-    fleet.hear(digest("h2", is_leaving=True))
+    fleet.handle_digest(digest("h2", is_leaving=True))
     assert fleet.voters(LEASE) == ("h2",)
-    assert fleet.leaving() == ("h2",)
+    assert fleet.leaving_hosts() == ("h2",)
     clock.turn(0.2)
     assert fleet.voters(LEASE) == ()
     clock.turn(5)
-    assert fleet.leaving() == ()
+    assert fleet.leaving_hosts() == ()
 
 
 def test_host_that_hears_nobody_does_not_vote_for_long(fleet, clock) -> None:
@@ -87,25 +87,25 @@
 
 
 def test_host_that_joined_votes_after_it_knows_the_others(fleet, clock) -> None:
-    fleet.hear(digest("h2"))
+    fleet.handle_digest(digest("h2"))
     assert not fleet.has_joined()
     clock.turn(1.1)
     assert fleet.has_joined()
 
 
 def test_keeper_is_the_peer_that_may_order_soonest(fleet) -> None:
-    fleet.hear(digest("h2", "zb", holds_lease=True, orders_in_s=FOREVER))
+    fleet.handle_digest(digest("h2", "zb", holds_lease=True, orders_in_s=FOREVER))
     assert fleet.keeper_of("zb") is None
-    fleet.hear(digest("h2", "zb", holds_lease=True, orders_in_s=2.0))
-    fleet.hear(digest("h3", "zb", holds_lease=True, orders_in_s=0.0))
+    fleet.handle_digest(digest("h2", "zb", holds_lease=True, orders_in_s=2.0))
+    fleet.handle_digest(digest("h3", "zb", holds_lease=True, orders_in_s=0.0))
     assert fleet.keeper_of("zb").contact.host_id == "h3"
 
 
 def test_suspected_peer_is_not_alive_until_heard_again(fleet) -> None:
-    fleet.hear(digest("h2"))
-    fleet.suspect(HostId("h2"))
+    fleet.handle_digest(digest("h2"))
+    fleet.mark_lost(HostId("h2"))
     assert fleet.live_hosts == 1
-    fleet.hear(digest("h2"))
+    fleet.handle_digest(digest("h2"))
     assert fleet.live_hosts == 2
 
 
@@ -117,49 +117,49 @@
         caller = PeerClient(timing, metrics, "127.0.0.1")
         made = FleetTask(mine, (), caller, clock, timedelta(30), lambda _: digest("h1"))
         for other in names:
-            made.hear(digest(other))
+            made.handle_digest(digest(other))
         readers += made.is_reader()
     assert readers == 1
 
 
 def test_hosts_told_by_peers_are_known_but_not_alive(fleet) -> None:
     told = digest("h4", "zb").host
-    fleet.hear(digest("h2", contacts=(told,)))
+    fleet.handle_digest(digest("h2", contacts=(told,)))
     assert {c.host_id for c in fleet.contacts()} == {"h1", "h2", "h4"}
     assert fleet.live_hosts == 2
 
 
 def test_larger_mesh_is_told_less_often_and_believed_longer(fleet) -> None:
-    fleet.hear(digest("h2", "zb"))
-    small_s = fleet.period_s(is_near=False)
+    fleet.handle_digest(digest("h2", "zb"))
+    small_s = fleet.digest_period_s(is_near=False)
     for n in range(2, 25):
-        fleet.hear(digest(f"h{n}", f"z{'abcd'[n % 4]}"))
-    far_s = fleet.period_s(is_near=False)
+        fleet.handle_digest(digest(f"h{n}", f"z{'abcd'[n % 4]}"))
+    far_s = fleet.digest_period_s(is_near=False)
     assert fleet.is_mesh
     assert far_s > 2 * small_s
-    assert fleet.period_s(is_near=True) < 0.6
+    assert fleet.digest_period_s(is_near=True) < 0.6
     far = next(p for p in fleet.peers.values() if not fleet.is_near(p))
-    assert fleet.alive_for(far).total_seconds() > 3 * far_s
+    assert fleet.silence_timeout(far).total_seconds() > 3 * far_s
 
 
 def test_what_a_host_of_a_mesh_tells_a_second_is_bounded(fleet) -> None:
     """Replay fleets that grow as long as they are a mesh, with all hosts far away."""
     told = {}
     for n in range(2, 26):
-        fleet.hear(digest(f"h{n}", "zb"))
-        told[n] = len(fleet.peers) / fleet.period_s(is_near=False)
+        fleet.handle_digest(digest(f"h{n}", "zb"))
+        told[n] = len(fleet.peers) / fleet.digest_period_s(is_near=False)
     assert fleet.is_mesh
     assert max(told.values()) < 60
 
 
 def test_host_that_looks_anew_has_joined_a_second_after_it_heard_one(fleet, clock):
-    fleet.hear(digest("h2"))
+    fleet.handle_digest(digest("h2"))
     clock.turn(12)
     assert fleet.has_joined()
-    fleet.rejoin()
+    fleet.restart_joining()
     clock.turn(5)
     assert not fleet.has_joined()
-    fleet.hear(digest("h2"))
+    fleet.handle_digest(digest("h2"))
     clock.turn(0.9)
     assert not fleet.has_joined()
     clock.turn(0.2)
@@ -167,10 +167,10 @@
 
 
 def test_leaving_peer_still_orders_until_it_gives_the_lease_back(fleet) -> None:
-    fleet.hear(digest("h2", is_leaving=True, holds_lease=True, orders_in_s=0.0))
+    fleet.handle_digest(digest("h2", is_leaving=True, holds_lease=True, orders_in_s=0.0))
     assert fleet.lease_holder() == "h2"
     assert fleet.keeper_of("za").contact.host_id == "h2"
-    fleet.holds_no_more(HostId("h2"))
+    fleet.record_lease_returned(HostId("h2"))
     assert fleet.lease_holder() is None
     assert fleet.keeper_of("za") is None
 
@@ -184,36 +184,36 @@
 
 
 def test_peer_that_started_anew_is_noticed(fleet, restarts) -> None:
-    fleet.hear(digest("h2", up_s=7.0))
-    fleet.hear(digest("h2", up_s=7.2))
-    fleet.hear(digest("h2", up_s=0.1))
+    fleet.handle_digest(digest("h2", up_s=7.0))
+    fleet.handle_digest(digest("h2", up_s=7.2))
+    fleet.handle_digest(digest("h2", up_s=0.1))
     assert restarts == [False, False, True]
 
 
 def test_only_a_host_that_is_long_up_tells_of_all(fleet) -> None:
     contacts = (ME,)
-    fleet.hear(digest("h2", up_s=0.1, contacts=contacts))
-    assert not fleet.was_told_of_all
-    fleet.hear(digest("h2", up_s=9.0))
-    assert not fleet.was_told_of_all
-    fleet.hear(digest("h3", up_s=9.0, contacts=contacts))
-    assert fleet.was_told_of_all
+    fleet.handle_digest(digest("h2", up_s=0.1, contacts=contacts))
+    assert not fleet.has_received_all_contacts
+    fleet.handle_digest(digest("h2", up_s=9.0))
+    assert not fleet.has_received_all_contacts
+    fleet.handle_digest(digest("h3", up_s=9.0, contacts=contacts))
+    assert fleet.has_received_all_contacts
 
 
 def test_digests_out_of_order_tell_of_no_restart(fleet, clock, restarts) -> None:
     # Two exchanges crossed after a cut was healed: the later answer came first. Taken
     # for a restart, the second brought all that its sender had ever counted as news,
     # and hosts refused organisations for seconds that were within their quotas.
-    fleet.hear(digest("h2", up_s=50.02))
+    fleet.handle_digest(digest("h2", up_s=50.02))
     clock.turn(0.006)
-    fleet.hear(digest("h2", up_s=50.0))
+    fleet.handle_digest(digest("h2", up_s=50.0))
     assert restarts == [False, False]
 
 
 def test_peer_back_after_a_second_has_restarted(fleet, clock, restarts) -> None:
-    fleet.hear(digest("h2", up_s=0.2))
+    fleet.handle_digest(digest("h2", up_s=0.2))
     clock.turn(1.0)
-    fleet.hear(digest("h2", up_s=0.1))
+    fleet.handle_digest(digest("h2", up_s=0.1))
     assert restarts == [False, True]
 
 
@@ -222,7 +222,7 @@
     random = Random(seed)
     for n in range(2, hosts + 2):
         hub = random.random() < 0.2
-        fleet.hear(
+        fleet.handle_digest(
             digest(
                 f"h{n}",
                 random.choice(("za", "zb", "zc")),
@@ -234,8 +234,8 @@
             )
         )
         clock.turn(random.uniform(0, 0.15))
-    fleet.vouched = frozenset(random.sample(sorted(fleet.peers), hosts // 3))
-    fleet.vouched_at = clock.monotonic()
+    fleet.hub_reported_hosts = frozenset(random.sample(sorted(fleet.peers), hosts // 3))
+    fleet.hub_reported_at = clock.monotonic()
 
 
 @pytest.mark.parametrize("hosts", [6, 24, 40])
@@ -245,9 +245,9 @@
 ) -> None:
     heard_over_time(fleet, clock, seed, hosts)
     now = clock.monotonic()
-    ages_s = [p.store_age_s + (now - p.heard_at).total_seconds() for p in fleet.alive()]
+    ages_s = [p.store_age_s + (now - p.last_heard_at).total_seconds() for p in fleet.live_peers()]
     assert fleet.freshest_store_age_s() == min(ages_s, default=FOREVER)
-    orderers = [p for p in fleet.heard() if p.orders_in_s < 60]
+    orderers = [p for p in fleet.recently_heard_peers() if p.orders_in_s < 60]
     centres = {p.contact.data_centre for p in orderers}
     assert fleet.keepers().keys() == centres
     for centre, keeper in fleet.keepers().items():
@@ -255,7 +255,7 @@
             p.orders_in_s for p in orderers if p.contact.data_centre == centre
         )
         assert keeper.orders_in_s == soonest_s
-    hubs = [p for p in fleet.heard() if p.is_hub and not fleet.is_near(p)]
+    hubs = [p for p in fleet.recently_heard_peers() if p.is_hub and not fleet.is_near(p)]
     assert set(fleet.other_hubs()) <= set(hubs)
     assert {p.contact.data_centre for p in fleet.other_hubs()} == {
         p.contact.data_centre for p in hubs
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -41,7 +41,7 @@
 from sardinequay_core.usage_view import Usage
 from sardinequay_daemon.content_news import take_news
 from sardinequay_daemon.digest_writer import DigestWriter
-from sardinequay_daemon.fleet_task import SEED_PERIOD_S, FleetTask, HeardDigest
+from sardinequay_daemon.fleet_task import SEED_PERIOD_S, FleetTask, ReceivedDigest
 from sardinequay_daemon.relay_state import RelayState
 from sardinequay_daemon.serving_messages import (
     AdapterUse,
@@ -125,15 +125,15 @@
         self.fleet.digests.subscribe(self.take_contents)
         self.contents_heard = 0
         self.fleet.digests.subscribe(self.writer.take_digest)
-        self.fleet.lost.subscribe(self.state.lose_peer)
-        self.fleet.lost.subscribe(self.writer.tell_anew)
+        self.fleet.lost_peers.subscribe(self.state.lose_peer)
+        self.fleet.lost_peers.subscribe(self.writer.tell_anew)
         self.is_down = False
         self.next_near = self.next_far = 0.0
 
-    def take_contents(self, heard: HeardDigest) -> None:
+    def take_contents(self, heard: ReceivedDigest) -> None:
         for news in heard.digest.contents:
             self.contents_heard += 1
-            take_news(self.state.quarantine, news, heard.at)
+            take_news(self.state.quarantine, news, heard.received_at)
 
     def see_end(self, target: str) -> None:
         """See a target end under a request."""
@@ -161,22 +161,22 @@
         self.cut: set[str] = set()
         self.elapsed_s = 0.0
         for host in self.hosts:
-            host.fleet.start = self.starter(host)
+            host.fleet.start_exchange = self.starter(host)
 
     def starter(self, caller: Host):
         def start(host_id: HostId, address: Address) -> None:
             self.calls[caller.me.host_id] += 1
             callee = self.by_address[str(address)]
             if callee.is_down or not self.reaches(caller, callee):
-                caller.fleet.digest(host_id)
-                caller.fleet.miss(host_id)
+                caller.fleet.build_digest(host_id)
+                caller.fleet.record_failed_exchange(host_id)
                 return
             self.calls[callee.me.host_id] += 1
-            digest = caller.fleet.digest(host_id)
-            callee.fleet.hear(digest)
-            answer = callee.fleet.digest(digest.host.host_id)
-            caller.fleet.missed.pop(host_id, None)
-            caller.fleet.hear(answer)
+            digest = caller.fleet.build_digest(host_id)
+            callee.fleet.handle_digest(digest)
+            answer = callee.fleet.build_digest(digest.host.host_id)
+            caller.fleet.failed_exchanges.pop(host_id, None)
+            caller.fleet.handle_digest(answer)
 
         return start
 
@@ -200,14 +200,14 @@
             round((self.elapsed_s + offset) / STEP_S) % round(SEED_PERIOD_S / STEP_S)
             == 0
         ):
-            fleet.ask_seeds()
-            fleet.forget_silent(self.clock.monotonic())
+            fleet.exchange_with_seeds()
+            fleet.prune_silent_peers(self.clock.monotonic())
         if self.elapsed_s >= host.next_near:
-            host.next_near = self.elapsed_s + fleet.period_s(is_near=True)
-            fleet.tell_near()
+            host.next_near = self.elapsed_s + fleet.digest_period_s(is_near=True)
+            fleet.exchange_with_near_peers()
         if self.elapsed_s >= host.next_far:
             host.next_far = self.elapsed_s + fleet.far_period_s()
-            fleet.tell_far()
+            fleet.exchange_with_far_peers()
 
     def choose_holders(self) -> None:
         """Let one host of each data centre hold its lease."""
@@ -383,7 +383,7 @@
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     reborn = world.hosts[place] = Host(place, clock, seeds)
     world.by_address[reborn.me.address] = reborn
-    reborn.fleet.start = world.starter(reborn)
+    reborn.fleet.start_exchange = world.starter(reborn)
     world.pass_time(2)
     assert A in reborn.state.residency.told[E].adapters
     assert len(reborn.fleet.contacts()) == 50
@@ -396,7 +396,7 @@
     world.hosts = [Host(n, clock, seeds) for n in range(50)]
     world.by_address = {h.me.address: h for h in world.hosts}
     for host in world.hosts:
-        host.fleet.start = world.starter(host)
+        host.fleet.start_exchange = world.starter(host)
     world.pass_time(2.5)
     assert {len(h.fleet.voters(seconds(1))) for h in world.hosts} == {9}
 
@@ -467,7 +467,7 @@
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     reborn = world.hosts[place] = Host(place, clock, seeds)
     world.by_address[reborn.me.address] = reborn
-    reborn.fleet.start = world.starter(reborn)
+    reborn.fleet.start_exchange = world.starter(reborn)
     world.pass_time(2)
     assert reborn.holds()
 
@@ -504,7 +504,7 @@
     others = [h for h in world.live("zd") if not h.orders.lease.is_holder]
     for host in others:
         assert lost.me.host_id in host.fleet.voters(seconds(1))
-        assert lost.me.host_id not in {p.contact.host_id for p in host.fleet.alive()}
+        assert lost.me.host_id not in {p.contact.host_id for p in host.fleet.live_peers()}
 
 
 def test_store_heard_by_a_hub_elsewhere_grows_old_with_what_it_told(world: World):
--- a/packages/daemon/tests/test_order_lease_task.py
+++ b/packages/daemon/tests/test_order_lease_task.py
@@ -21,25 +21,25 @@
     def has_joined(self) -> bool:
         return self.has_joined_now
 
-    def rejoin(self) -> None:
+    def restart_joining(self) -> None:
         self.rejoined += 1
         self.has_joined_now = False
 
     def lease_holder(self):
         return None
 
-    def alive(self):
+    def live_peers(self):
         return ()
 
     def voters(self, lease):
         return ()
 
-    def leaving(self):
+    def leaving_hosts(self):
         return ()
 
-    was_told_of_all = False
+    has_received_all_contacts = False
 
-    def up_s(self) -> float:
+    def uptime_s(self) -> float:
         return 50.0
 
 
--- a/packages/lab/src/sardinequay_lab/quota_world.py
+++ b/packages/lab/src/sardinequay_lab/quota_world.py
@@ -21,10 +21,10 @@
 )
 from sardinequay_core.quota_book import QuotaPolicy
 from sardinequay_daemon.hub_table import HUB_PERIOD_PER_HOST_S, HUB_PERIOD_S
-from sardinequay_daemon.peer_table import OTHER_HUB_ALIVE_FOR
+from sardinequay_daemon.peer_table import OTHER_HUB_SILENCE_TIMEOUT
 
 ORGANISATION = OrganisationName("o")
-REACH_LOST_S = OTHER_HUB_ALIVE_FOR.total_seconds()
+REACH_LOST_S = OTHER_HUB_SILENCE_TIMEOUT.total_seconds()
 """After so long hosts of a data centre that is cut off count as gone."""
 
 
