--- a/packages/daemon/src/sardinequay_daemon/caller_gate.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_gate.py
@@ -91,7 +91,7 @@
         """
         now = self.state.clock.monotonic()
         self.state.count_hosts()
-        result = self.state.quotas.book.admit(organisation, terms.tokens, now)
+        result = self.state.quotas.ledger.admit(organisation, terms.tokens, now)
         if not isinstance(result, OverQuota):
             return result
         self.metrics.over_quota.inc(
@@ -116,4 +116,4 @@
 
     def give_back(self, admitted: Admitted) -> None:
         """Take back what was counted for a request that did not run."""
-        self.state.quotas.book.give_back(admitted, self.state.clock.monotonic())
+        self.state.quotas.ledger.give_back(admitted, self.state.clock.monotonic())
--- a/packages/daemon/src/sardinequay_daemon/callers.py
+++ b/packages/daemon/src/sardinequay_daemon/callers.py
@@ -120,7 +120,7 @@
             return await self.refuse(exchange, refusal)
         except (CallerGoneError, asyncio.CancelledError) as error:
             self.metrics.requests.inc({"outcome": "caller_gone"})
-            self.journal.note(request_id, "caller gone")
+            self.journal.record(request_id, "caller gone")
             if isinstance(error, asyncio.CancelledError):
                 raise
             return exchange.response or web.Response(status=499)
@@ -132,7 +132,7 @@
             return await self.refuse(exchange, refusal)
         finally:
             took = self.clock.monotonic() - began
-            self.journal.note(request_id, "ended", took_s=took.total_seconds())
+            self.journal.record(request_id, "ended", took_s=took.total_seconds())
             span.set_attribute("request", request_id)
             span.end()
 
@@ -317,7 +317,7 @@
             "outcome": refusal.outcome.value,
             "detail": refusal.message,
         }
-        self.journal.note(exchange.request_id, "refused", **details)
+        self.journal.record(exchange.request_id, "refused", **details)
         log.info("request refused", extra=details)
         if exchange.response is None:
             return refusal_response(refusal, exchange.request_id)
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -94,7 +94,7 @@
             )
         if not isinstance(won, Success):
             raise Refused(won.failure())
-        self.journal.note(envelope.request_id, "claimed", key=envelope.key)
+        self.journal.record(envelope.request_id, "claimed", key=envelope.key)
         claim: WonClaim = won.unwrap()
         return claim
 
--- a/packages/daemon/src/sardinequay_daemon/content_spread.py
+++ b/packages/daemon/src/sardinequay_daemon/content_spread.py
@@ -16,7 +16,7 @@
 
 from .content_messages import ContentNews, ContentsReply, ContentsTold
 from .content_news import news_of
-from .mailbox import every
+from .mailbox import run_periodically
 from .membership_task import MembershipTask
 from .peers import PeerClient
 
@@ -52,11 +52,11 @@
 
     def known_to_all(self) -> list[HostId]:
         """Return the live hosts of this data centre."""
-        return [m.host_id for m in self.membership.live.value]
+        return [m.host_id for m in self.membership.live_members.value]
 
     def address_of(self, host_id: HostId) -> Address | None:
         """Return where a live host of this data centre is reached."""
-        live = {m.host_id: m.address for m in self.membership.live.value}
+        live = {m.host_id: m.address for m in self.membership.live_members.value}
         return live.get(host_id)
 
     def tell_of(self, content: ContentId, is_own: bool) -> None:
@@ -71,7 +71,7 @@
         """Tell and ask, for good."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.tell_on())
-            group.create_task(every(ASK_PERIOD_S, self.ask_one))
+            group.create_task(run_periodically(ASK_PERIOD_S, self.ask_one))
 
     async def tell_on(self) -> None:
         """Tell all hosts whenever there is something to tell."""
@@ -89,7 +89,7 @@
     def others(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
         me = self.membership.membership.me.address
-        here = {m.address for m in self.membership.live.value}
+        here = {m.address for m in self.membership.live_members.value}
         elsewhere = {h.peer_address for h in self.membership.remote_hosts()}
         return sorted((here | elsewhere) - {me})
 
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -197,14 +197,14 @@
         finished = False
         with self.tracing.child_span("engine", parent) as span:
             span.set_attribute("engine", use.target)
-            self.journal.note(
+            self.journal.record(
                 request.envelope.request_id,
                 "dispatched",
                 engine=use.target,
                 attempt=progress.attempts,
             )
             run = EngineRun(
-                self.engines, address, request_id, request, self.tracing.headers(span)
+                self.engines, address, request_id, request, self.tracing.propagation_headers(span)
             )
             try:
                 async with aclosing(self.unbroken(run, progress)) as parts:
@@ -252,7 +252,7 @@
         budget: RetryBudget,
     ) -> None:
         """Permit another attempt by returning, or raise the request's failure."""
-        self.journal.note(
+        self.journal.record(
             request.envelope.request_id, "failed", engine=use.target, error=str(error)
         )
         progress.end_attempt(error.proves_not_run)
--- a/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
@@ -22,40 +22,40 @@
     """
 
     def __init__(
-        self, size: FleetSize, clock: Clock, draw: Callable[[], float]
+        self, fleet_size: FleetSize, clock: Clock, draw: Callable[[], float]
     ) -> None:
-        self.size = size
+        self.fleet_size = fleet_size
         self.clock = clock
-        self.book = QuotaBook(draw)
+        self.ledger = QuotaBook(draw)
 
-    def take_policy(self, policy: QuotaPolicy) -> None:
+    def apply_policy(self, policy: QuotaPolicy) -> None:
         """Take other bounds on what quotas may be exceeded by."""
-        self.book.policy = policy
+        self.ledger.policy = policy
 
-    def take_catalogue(self, before: Catalogue, now: Catalogue) -> None:
+    def apply_catalogue(self, before: Catalogue, now: Catalogue) -> None:
         """Take the quotas of a new version of the configuration."""
         if now.config is not None and now.config is not before.config:
             organisations = now.config.organisations or ()
-            self.book.take_organisations(organisations, self.clock.monotonic())
+            self.ledger.take_organisations(organisations, self.clock.monotonic())
 
-    def take_part(self, heard: ReceivedDigest) -> None:
+    def record_partial_usage(self, heard: ReceivedDigest) -> None:
         """Take what one host used, or the hosts of one data centre."""
-        self.book.hear(heard.digest.host.host_id, told_of(heard), heard.received_at)
+        self.ledger.hear(heard.digest.host.host_id, reported_usage(heard), heard.received_at)
 
-    def take_sum(self, heard: ReceivedDigest) -> None:
+    def record_total_usage(self, heard: ReceivedDigest) -> None:
         """Take from a hub what all other hosts used."""
-        self.book.hear_all(heard.digest.host.host_id, told_of(heard), heard.received_at)
+        self.ledger.hear_all(heard.digest.host.host_id, reported_usage(heard), heard.received_at)
 
-    def forget(self, host_id: HostId) -> None:
+    def remove_peer(self, host_id: HostId) -> None:
         """Take that a peer is gone."""
-        self.book.forget(host_id, self.clock.monotonic())
+        self.ledger.forget(host_id, self.clock.monotonic())
 
-    def take_size(self) -> None:
+    def update_fleet_share(self) -> None:
         """Take how many hosts live, for the part of quotas that is theirs."""
-        self.book.take_share(self.size.part(), self.clock.monotonic())
+        self.ledger.take_share(self.fleet_size.live_fraction(), self.clock.monotonic())
 
 
-def told_of(heard: ReceivedDigest) -> Told:
+def reported_usage(heard: ReceivedDigest) -> Told:
     """Return what a digest tells of organisations' usage."""
     digest = heard.digest
     return Told(digest.scope, digest.usage, seconds(digest.up_s), heard.has_restarted)
--- a/packages/daemon/src/sardinequay_daemon/fleet_size.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_size.py
@@ -15,21 +15,21 @@
         self.clock = clock
         self.share = FleetShare()
 
-    def count(self) -> None:
+    def record_live_hosts(self) -> None:
         """Count the hosts that live now."""
         self.share.count(self.fleet.live_hosts, self.clock.monotonic())
 
-    def hosts(self) -> int:
+    def estimated_hosts(self) -> int:
         """Return how many hosts lived lately, or are known and may live."""
         known = 1 + max(len(self.fleet.peers), len(self.fleet.seeds))
-        lately = self.share.hosts(self.fleet.live_hosts, self.assumed())
+        lately = self.share.hosts(self.fleet.live_hosts, self.assumed_hosts())
         return max(lately, known)
 
-    def part(self) -> float:
+    def live_fraction(self) -> float:
         """Return the part of all that falls to the hosts in touch."""
-        return self.share.part(self.fleet.live_hosts, self.assumed())
+        return self.share.part(self.fleet.live_hosts, self.assumed_hosts())
 
-    def assumed(self) -> int:
+    def assumed_hosts(self) -> int:
         """Return how many hosts exist as far as a host knows that has just started."""
         fleet = self.fleet
         if not fleet.seeds or fleet.uptime_s() > ASSUME_ALONE_AFTER.total_seconds():
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -24,7 +24,7 @@
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
 from sardinequay_core.views import GuardAddress, View, view_of
 
-from .mailbox import Envelope, Mailbox, every
+from .mailbox import QueuedMessage, Mailbox, run_periodically
 from .peers import PeerClient
 from .settings import ClaimSettings
 
@@ -91,25 +91,25 @@
     async def run(self) -> None:
         """Answer and join for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.inbox.serve(self.handle))
-            group.create_task(every(JOIN_STEP_S, self.join_step))
-            group.create_task(every(EXPIRE_S, self.expire))
+            group.create_task(self.inbox.handle_messages(self.handle))
+            group.create_task(run_periodically(JOIN_STEP_S, self.join_step))
+            group.create_task(run_periodically(EXPIRE_S, self.expire))
 
-    def handle(self, envelope: Envelope) -> None:
+    def handle(self, envelope: QueuedMessage) -> None:
         """Answer one message from the state as it is now."""
         message, now = envelope.message, self.clock.monotonic()
         if isinstance(message, ClaimRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.answer(duty.claim(message, now))
+            envelope.reply_with(duty.claim(message, now))
         elif isinstance(message, Settle):
             self.duties[message.data_centre].settle(message)
-            envelope.answer(Settled())
+            envelope.reply_with(Settled())
         elif isinstance(message, HandoverRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.answer(duty.hand_over(message, now))
+            envelope.reply_with(duty.hand_over(message, now))
         elif isinstance(message, ViewQuery):
             guard = self.duties[message.data_centre].guard
-            envelope.answer(ViewReply(guard.active))
+            envelope.reply_with(ViewReply(guard.active))
 
     def take_list(self, roster: Roster) -> None:
         """Take the list that was read from the platform just now."""
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -35,7 +35,7 @@
 from .journal import Journal
 from .keeper_task import KeeperTask
 from .lease_task import LeaseTask
-from .mailbox import every
+from .mailbox import run_periodically
 from .membership_task import MembershipTask, PeerInForce
 from .messages import (
     Acquire,
@@ -292,14 +292,14 @@
     def connect(self) -> None:
         """Say which task hears of which change."""
         rosters = self.roster.rosters
-        rosters.subscribe(self.membership.take_roster)
+        rosters.subscribe(self.membership.apply_roster)
         rosters.subscribe(self.claimer.take_roster)
         rosters.subscribe(self.leases.take_roster)
         rosters.subscribe(self.forwarder.take_roster)
         rosters.subscribe(self.hear_roster)
         self.roster.direct_reads.subscribe(self.guard.take_list)
-        self.membership.live.subscribe(self.leases.take_members)
-        self.keeper.subscribe(self.rollout.bundles, rosters, self.membership.live)
+        self.membership.live_members.subscribe(self.leases.take_members)
+        self.keeper.subscribe(self.rollout.bundles, rosters, self.membership.live_members)
         self.rollout.bundles.subscribe(self.bundle_changed)
 
     def hear_roster(self, roster: Roster) -> None:
@@ -310,24 +310,24 @@
     def bundle_changed(self, bundle: Bundle | None) -> None:
         """Tell peers at once of a bundle that came into force."""
         if bundle is not None:
-            self.membership.spread()
+            self.membership.announce_in_force()
 
     def register(self) -> None:
         """Say who answers which message of a peer."""
         server = self.peer_server
-        server.register(Ping, self.membership.answer_ping)
-        server.register(Offer, self.membership.answer_offer)
-        server.register(FetchRoot, self.rollout.answer_root)
-        server.register(FetchBlobs, self.rollout.answer_blobs)
-        server.register(FetchRoster, self.roster.answer_fetch)
+        server.register(Ping, self.membership.handle_ping)
+        server.register(Offer, self.membership.handle_offer)
+        server.register(FetchRoot, self.rollout.handle_fetch_root)
+        server.register(FetchBlobs, self.rollout.handle_fetch_blobs)
+        server.register(FetchRoster, self.roster.handle_fetch)
         server.register(Recall, self.leases.answer_recall)
         server.register(ContentsTold, self.spread.answer)
         server.register(AskPermit, self.content_guard.answer_ask)
         server.register(PermitBack, self.content_guard.answer_back)
         for guarded in GUARD_MESSAGES:
-            server.register(guarded, self.guard.inbox.ask)
+            server.register(guarded, self.guard.inbox.request)
         for kept in KEEPER_MESSAGES:
-            server.register(kept, self.keeper.inbox.ask)
+            server.register(kept, self.keeper.inbox.request)
 
     # What is in force.
 
@@ -340,13 +340,13 @@
         said = event.in_force
         offered = Offered(said.bundle_version, said.bundle_digest)
         if self.rollout.rollout.is_worth_asking(offered):
-            self.rollout.inbox.tell(PeerOffer(offered, event.address))
+            self.rollout.inbox.post(PeerOffer(offered, event.address))
         if said.roster_number > self.roster.roster.number:
-            self.roster.inbox.tell((said.roster_number, event.address))
+            self.roster.inbox.post((said.roster_number, event.address))
 
     def bundle(self) -> Bundle | None:
         """Return the bundle in force."""
-        in_place = self.rollout.in_place
+        in_place = self.rollout.installed
         return in_place.bundle if in_place else None
 
     def is_ready(self) -> bool:
@@ -356,7 +356,7 @@
 
     def status(self) -> HostStatus:
         """Return what is in force on this host."""
-        in_place = self.rollout.in_place
+        in_place = self.rollout.installed
         return HostStatus(
             host=self.settings.host_id,
             data_centre=self.settings.data_centre,
@@ -369,7 +369,7 @@
             bundles_refused=sorted(f"{r} {d}" for r, d in self.rollout.rollout.refused),
             roster_number=self.roster.roster.number,
             in_flight=self.callers.admission.in_flight,
-            members=self.membership.health_of(),
+            members=self.membership.health_by_member(),
             guard_views=self.guard.views(),
             resident=self.keeper.summary(),
             quarantined=self.content_guard.held(),
@@ -384,7 +384,7 @@
         self.metrics.in_flight.set({}, self.callers.admission.in_flight)
         held = self.content_guard.quarantine.held(self.clock.monotonic())
         self.metrics.quarantined.set({}, len(held))
-        in_place = self.rollout.in_place
+        in_place = self.rollout.installed
         if in_place is not None:
             age = (self.clock.now() - in_place.since).total_seconds()
             self.metrics.bundle_age.set({}, age)
@@ -399,13 +399,13 @@
             async with asyncio.TaskGroup() as group:
                 work = [
                     group.create_task(self.roster.run()),
-                    group.create_task(self.rollout.run(self.membership.first_peers)),
+                    group.create_task(self.rollout.run(self.membership.join_peers)),
                     group.create_task(self.membership.run()),
                     group.create_task(self.guard.run()),
                     group.create_task(self.keeper.run()),
                     group.create_task(self.leases.run()),
                     group.create_task(self.spread.run()),
-                    group.create_task(every(EXPIRE_S, self.expire_contents)),
+                    group.create_task(run_periodically(EXPIRE_S, self.expire_contents)),
                 ]
                 await stop.wait()
                 await self.drain()
@@ -446,7 +446,7 @@
         timing = self.settings.timing
         log.info("stopping", extra={"in_flight": self.callers.admission.in_flight})
         self.is_stopping = True
-        await self.membership.leave()
+        await self.membership.announce_leaving()
         # The balancer needs a moment to see that this host is not ready.
         await asyncio.sleep(timing.leave_notice_s)
         self.callers.is_stopping = True
--- a/packages/daemon/src/sardinequay_daemon/host_pages.py
+++ b/packages/daemon/src/sardinequay_daemon/host_pages.py
@@ -11,11 +11,11 @@
 LIFT_PATH = "/v1/quarantine/{content}"
 """Removing a content from there lets its requests run again, on all hosts."""
 
-Lift = Callable[[ContentId], bool]
+LiftQuarantine = Callable[[ContentId], bool]
 
 
-def pages_app(
-    registry: Registry, status: Callable[[], dict[str, object]], lift: Lift
+def create_status_app(
+    registry: Registry, status: Callable[[], dict[str, object]], lift: LiftQuarantine
 ) -> web.Application:
     """Return the pages ``/metrics`` (text), ``/v1/status`` (JSON) and the lift."""
 
@@ -29,11 +29,11 @@
     app = web.Application()
     app.router.add_get("/metrics", show_metrics)
     app.router.add_get("/v1/status", show_status)
-    add_lift(app, lift)
+    add_lift_route(app, lift)
     return app
 
 
-def add_lift(app: web.Application, lift: Lift) -> None:
+def add_lift_route(app: web.Application, lift: LiftQuarantine) -> None:
     """Let operators lift the quarantine of a content; 404 if it was under none."""
 
     async def answer(request: web.Request) -> web.Response:
--- a/packages/daemon/src/sardinequay_daemon/journal.py
+++ b/packages/daemon/src/sardinequay_daemon/journal.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class JournalEntry:
     """One decision or event."""
 
     at: datetime
@@ -26,16 +26,16 @@
     """The latest subjects and their entries."""
 
     clock: Clock
-    subjects: OrderedDict[str, list[Entry]] = field(default_factory=OrderedDict)
+    subjects: OrderedDict[str, list[JournalEntry]] = field(default_factory=OrderedDict)
 
-    def note(self, subject: str, what: str, **details: Any) -> None:
+    def record(self, subject: str, what: str, **details: Any) -> None:
         """Note an event under a request's or an order's id."""
         entries = self.subjects.setdefault(subject, [])
         if len(entries) < MAX_ENTRIES:
-            entries.append(Entry(self.clock.now(), what, details))
+            entries.append(JournalEntry(self.clock.now(), what, details))
         if len(self.subjects) > MAX_SUBJECTS:
             self.subjects.popitem(last=False)
 
-    def explain(self, subject: str) -> list[Entry]:
+    def explain(self, subject: str) -> list[JournalEntry]:
         """Return what is remembered of an id."""
         return list(self.subjects.get(subject, ()))
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -48,7 +48,7 @@
     ReportArrived,
     UnloadEnded,
 )
-from .mailbox import Envelope, Mailbox, every
+from .mailbox import QueuedMessage, Mailbox, run_periodically
 from .messages import (
     Acquire,
     EngineLoad,
@@ -78,7 +78,7 @@
     """One keepership of this host, and who waits in it."""
 
     keeper: Keeper
-    tickets: dict[int, Envelope]
+    tickets: dict[int, QueuedMessage]
     addresses: dict[HolderId, Address]
 
 
@@ -129,16 +129,16 @@
         def tell(latest: tuple[Bundle | None, Roster, tuple[Member, ...]]) -> None:
             bundle, roster, members = latest
             if bundle is not None:
-                self.inbox.tell(Reassigned(bundle, roster, members))
+                self.inbox.post(Reassigned(bundle, roster, members))
 
         reactivex.combine_latest(bundles, rosters, live).subscribe(tell)
 
     async def run(self) -> None:
         """Serve messages, read reports and tick for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.inbox.serve(self.handle))
-            group.create_task(every(self.timing.report_s, self.read_reports))
-            group.create_task(every(TICK_S, self.tick))
+            group.create_task(self.inbox.handle_messages(self.handle))
+            group.create_task(run_periodically(self.timing.report_s, self.read_reports))
+            group.create_task(run_periodically(TICK_S, self.tick))
 
     def start(self, work: Coroutine[Any, Any, None]) -> None:
         """Run work beside the task; its result comes back as an event."""
@@ -198,12 +198,12 @@
         """Give up a keepership; those who wait find the new keeper."""
         kept = self.kept.pop(pool)
         for envelope in kept.tickets.values():
-            envelope.answer(NotKeeper())
+            envelope.reply_with(NotKeeper())
         log.info("keepership dropped", extra={"pool": pool})
 
     # Messages and events.
 
-    def handle(self, envelope: Envelope) -> None:
+    def handle(self, envelope: QueuedMessage) -> None:
         """Take one message."""
         message = envelope.message
         if isinstance(message, Reassigned):
@@ -213,23 +213,23 @@
         elif message.pool in self.kept:
             self.handle_event(self.kept[message.pool], message)
 
-    def handle_holder(self, envelope: Envelope) -> None:
+    def handle_holder(self, envelope: QueuedMessage) -> None:
         """Answer a holder, if this host keeps what it means."""
         message = envelope.message
         kept = self.kept.get(message.keepership.pool)
         if kept is None or message.keepership.data_centre != self.data_centre:
-            envelope.answer(NotKeeper())
+            envelope.reply_with(NotKeeper())
             return
         now = self.clock.monotonic()
         if isinstance(message, Want):
             self.want(kept, envelope, message, now)
         elif isinstance(message, GiveBack):
             kept.keeper.give_back(message.holder, message.use, message.sequence)
-            envelope.answer(Taken())
+            envelope.reply_with(Taken())
         else:
             kept.addresses[message.holder] = parse_address(message.address).unwrap()
             granted = self.grant(kept.keeper, message, now)
-            envelope.answer(self.granted(kept.keeper, granted))
+            envelope.reply_with(self.granted(kept.keeper, granted))
 
     def grant(
         self, keeper: Keeper, message: Acquire | Renew, now: Instant
@@ -249,14 +249,14 @@
         grants = tuple(GrantedUse(use, lasts.total_seconds()) for use, lasts in uses)
         return Granted(grants, tuple(loads))
 
-    def want(self, kept: Kept, envelope: Envelope, message: Want, now: Instant) -> None:
+    def want(self, kept: Kept, envelope: QueuedMessage, message: Want, now: Instant) -> None:
         """Queue a request for a cold adapter, or give it up at once."""
         ticket = next(self.numbers)
         deadline = now + timedelta(seconds=message.wait_s)
         given_up = kept.keeper.want(ticket, message.adapter, deadline, now)
         if given_up is not None:
             wait_s = given_up.retry_after.total_seconds()
-            envelope.answer(Wanted(False, wait_s))
+            envelope.reply_with(Wanted(False, wait_s))
             return
         kept.tickets[ticket] = envelope
         if envelope.reply is not None:
@@ -289,7 +289,7 @@
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
         self.metrics.loads.inc({"result": result})
-        self.journal.note(
+        self.journal.record(
             order_id("load", event.order.token),
             result,
             adapter=str(use.adapter),
@@ -310,7 +310,7 @@
         for ticket in tickets:
             envelope = kept.tickets.pop(ticket, None)
             if envelope is not None:
-                envelope.answer(Wanted(True))
+                envelope.reply_with(Wanted(True))
 
     def unload_ended(self, kept: Kept, event: UnloadEnded, now: Instant) -> None:
         """Take the end of an eviction."""
@@ -318,7 +318,7 @@
         result = event.error.fault.value if event.error else "done"
         self.metrics.evictions.inc({"result": result})
         subject = order_id("evict", event.order.token)
-        self.journal.note(subject, result, adapter=str(use.adapter), engine=use.target)
+        self.journal.record(subject, result, adapter=str(use.adapter), engine=use.target)
         if event.error is None:
             kept.keeper.unload_done(use, now)
         elif event.error.fault is TargetFault.STALE_TOKEN:
@@ -344,7 +344,7 @@
             envelope = kept.tickets.pop(command.ticket, None)
             if envelope is not None:
                 wait_s = command.retry_after.total_seconds()
-                envelope.answer(Wanted(False, wait_s))
+                envelope.reply_with(Wanted(False, wait_s))
             return
         target = kept.keeper.engines[command.use.target].target
         if isinstance(command, OrderLoad):
@@ -361,7 +361,7 @@
         adapter, now = order.use.adapter, self.clock.monotonic()
         queue = kept.keeper.queue
         waiting = queue.waiting.get(adapter)
-        self.journal.note(
+        self.journal.record(
             order_id("load", order.token),
             "ordered",
             adapter=str(adapter),
@@ -375,7 +375,7 @@
     def note_unload(self, kept: Kept, order: OrderUnload) -> None:
         """Note why an eviction was ordered."""
         queue, now = kept.keeper.queue, self.clock.monotonic()
-        self.journal.note(
+        self.journal.record(
             order_id("evict", order.token),
             "ordered",
             adapter=str(order.use.adapter),
@@ -389,12 +389,12 @@
         began = self.clock.monotonic()
         result = await self.engines.load(target, order.use, order.token)
         took = self.clock.monotonic() - began
-        self.inbox.tell(LoadEnded(pool, order, took, error_of(result)))
+        self.inbox.post(LoadEnded(pool, order, took, error_of(result)))
 
     async def unload(self, pool: PoolName, target: Target, order: OrderUnload) -> None:
         """Order an eviction and wait for its end."""
         result = await self.engines.unload(target, order.use, order.token)
-        self.inbox.tell(UnloadEnded(pool, order, error_of(result)))
+        self.inbox.post(UnloadEnded(pool, order, error_of(result)))
 
     async def recall(self, kept: Kept, pool: PoolName, order: OrderRecall) -> None:
         """Ask a holder to stop; a silent one's lease runs out."""
@@ -403,7 +403,7 @@
             return
         answer = (await self.peers.call(address, Recall(order.use))).value_or(None)
         if isinstance(answer, Recalled):
-            self.inbox.tell(RecallEnded(pool, order, answer))
+            self.inbox.post(RecallEnded(pool, order, answer))
 
     async def read_reports(self) -> None:
         """Ask every kept engine for its report."""
@@ -425,7 +425,7 @@
                     self.metrics.batch_fill.set(
                         {"engine": str(target.target_id)}, report.running
                     )
-                    self.inbox.tell(ReportArrived(pool, report, asked_at))
+                    self.inbox.post(ReportArrived(pool, report, asked_at))
 
     def summary(self) -> dict[str, dict[TargetId, list[str]]]:
         """Return what is resident where, for operators."""
--- a/packages/daemon/src/sardinequay_daemon/lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/lease_task.py
@@ -22,7 +22,7 @@
 
 from .errors import PeerError
 from .keeper_task import keeper_rank, live_engines
-from .mailbox import every
+from .mailbox import run_periodically
 from .messages import (
     Acquire,
     EngineLoad,
@@ -82,7 +82,7 @@
 
     async def run(self) -> None:
         """Renew leases for good."""
-        await every(self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_all)
+        await run_periodically(self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_all)
 
     def take_roster(self, roster: Roster) -> None:
         """Take the list; targets that leave get no new work from now on."""
--- a/packages/daemon/src/sardinequay_daemon/logs.py
+++ b/packages/daemon/src/sardinequay_daemon/logs.py
@@ -6,14 +6,14 @@
 from pythonjsonlogger.json import JsonFormatter
 
 FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
-RENAMED = {"asctime": "time", "levelname": "level", "name": "logger"}
+RENAMED_FIELDS = {"asctime": "time", "levelname": "level", "name": "logger"}
 
 
-def configure(level: str, host_id: str) -> None:
+def configure_logging(level: str, host_id: str) -> None:
     """Send all logs to standard error as JSON, each line naming this host."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
-        JsonFormatter(FIELDS, rename_fields=RENAMED, static_fields={"host": host_id})
+        JsonFormatter(FIELDS, rename_fields=RENAMED_FIELDS, static_fields={"host": host_id})
     )
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/packages/daemon/src/sardinequay_daemon/mailbox.py
+++ b/packages/daemon/src/sardinequay_daemon/mailbox.py
@@ -7,13 +7,13 @@
 
 
 @dataclass(slots=True)
-class Envelope:
+class QueuedMessage:
     """A message on its way, and where its reply goes."""
 
     message: Any
     reply: asyncio.Future[Any] | None = None
 
-    def answer(self, value: Any) -> None:
+    def reply_with(self, value: Any) -> None:
         """Reply, unless the asker is gone."""
         if self.reply is not None and not self.reply.done():
             self.reply.set_result(value)
@@ -23,25 +23,25 @@
 class Mailbox:
     """The inbox of one task."""
 
-    queue: asyncio.Queue[Envelope] = field(default_factory=asyncio.Queue)
+    queue: asyncio.Queue[QueuedMessage] = field(default_factory=asyncio.Queue)
 
-    def tell(self, message: Any) -> None:
+    def post(self, message: Any) -> None:
         """Send a message and expect no reply."""
-        self.queue.put_nowait(Envelope(message))
+        self.queue.put_nowait(QueuedMessage(message))
 
-    async def ask(self, message: Any) -> Any:
+    async def request(self, message: Any) -> Any:
         """Send a message and wait for its reply."""
         reply = asyncio.get_running_loop().create_future()
-        self.queue.put_nowait(Envelope(message, reply))
+        self.queue.put_nowait(QueuedMessage(message, reply))
         return await reply
 
-    async def serve(self, handle: Callable[[Envelope], None]) -> None:
+    async def handle_messages(self, handle: Callable[[QueuedMessage], None]) -> None:
         """Hand every message to the owner of the state, one at a time."""
         while True:
             handle(await self.queue.get())
 
 
-async def every(period_s: float, step: Callable[[], Awaitable[None] | None]) -> None:
+async def run_periodically(period_s: float, step: Callable[[], Awaitable[None] | None]) -> None:
     """Run a step, then again a period after it ended, for good."""
     while True:
         result = step()
--- a/packages/daemon/src/sardinequay_daemon/main.py
+++ b/packages/daemon/src/sardinequay_daemon/main.py
@@ -12,7 +12,7 @@
 
 from .errors import StartError
 from .host import Host
-from .logs import configure
+from .logs import configure_logging
 from .settings import Settings
 from .settings_check import read_settings
 from .system_clock import SystemClock
@@ -47,7 +47,7 @@
         random = Random(SystemRandom().getrandbits(128))
         await Host(settings, SystemClock(), random, tracing).run(stop)
     finally:
-        tracing.shut_down()
+        tracing.shutdown()
 
 
 def main() -> int:
@@ -61,7 +61,7 @@
     if arguments.check:
         print("settings are good")
         return EXIT_OK
-    configure(settings.logs.level, settings.host_id)
+    configure_logging(settings.logs.level, settings.host_id)
     try:
         asyncio.run(serve(settings))
     except StartError as error:
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -16,17 +16,17 @@
 from sardinequay_core.rendezvous import rank
 from sardinequay_core.roster import EMPTY_ROSTER, EntryHost, Presence, Roster
 
-from .mailbox import every
+from .mailbox import run_periodically
 from .messages import InForce, Offer, Ping, Pong, Taken
 from .metrics import Metrics
 from .peers import PeerClient
 from .shared_settings import TimingSettings
 
-READERS = 2
+PLATFORM_READERS = 2
 """Hosts of a data centre that watch the platform: one may be lost unnoticed."""
-REMOTE_EVERY = 10
+REMOTE_PING_ROUNDS = 10
 """Gossip periods between two hints to a host of another data centre."""
-Live = tuple[Member, ...]
+LiveMembers = tuple[Member, ...]
 log = logging.getLogger(__name__)
 
 
@@ -59,7 +59,7 @@
         random: Random,
         metrics: Metrics,
         in_force: Callable[[], InForce],
-        heard: Callable[[PeerInForce], None],
+        on_peer_in_force: Callable[[PeerInForce], None],
     ) -> None:
         policy = MembershipPolicy(
             period=timedelta(seconds=timing.gossip_s),
@@ -73,13 +73,13 @@
         self.random = random
         self.metrics = metrics
         self.in_force = in_force
-        self.heard = heard
+        self.on_peer_in_force = on_peer_in_force
         self.roster = EMPTY_ROSTER
-        self.live: BehaviorSubject[Live] = BehaviorSubject((me,))
+        self.live_members: BehaviorSubject[LiveMembers] = BehaviorSubject((me,))
         self.rounds = 0
         self.sending: set[asyncio.Task[None]] = set()
 
-    def take_roster(self, roster: Roster) -> None:
+    def apply_roster(self, roster: Roster) -> None:
         """Take hosts of this data centre that were never heard of."""
         self.roster = roster
         local = roster.hosts_in(self.data_centre)
@@ -89,13 +89,13 @@
             if h.presence is Presence.LIVE
         ]
         self.membership.seed(members, self.clock.monotonic())
-        self.publish()
+        self.publish_live_members()
 
     async def run(self) -> None:
         """Send heartbeats for good."""
-        await every(self.timing.gossip_s, self.round)
+        await run_periodically(self.timing.gossip_s, self.run_round)
 
-    async def round(self) -> None:
+    async def run_round(self) -> None:
         """Ping one member of the data centre, and now and then a host elsewhere."""
         self.rounds += 1
         self.membership.tick(self.clock.monotonic())
@@ -103,9 +103,9 @@
         if member is not None:
             await self.ping(member)
         remote = self.remote_hosts()
-        if remote and self.rounds % REMOTE_EVERY == 0:
-            await self.hint(self.random.choice(remote).peer_address)
-        self.publish()
+        if remote and self.rounds % REMOTE_PING_ROUNDS == 0:
+            await self.ping_remote_host(self.random.choice(remote).peer_address)
+        self.publish_live_members()
 
     def remote_hosts(self) -> list[EntryHost]:
         """Return the hosts of other data centres."""
@@ -120,89 +120,89 @@
         if isinstance(pong, Pong):
             self.membership.hear(pong.news, now)
             self.membership.answered(member.host_id, now)
-            self.heard(PeerInForce(pong.in_force, member.address))
+            self.on_peer_in_force(PeerInForce(pong.in_force, member.address))
         else:
             self.membership.unanswered(member.host_id, now)
 
-    async def hint(self, address: Address) -> None:
+    async def ping_remote_host(self, address: Address) -> None:
         """Exchange with a host elsewhere what is in force."""
         answer = await self.peers.call(address, Ping((), self.in_force()))
         if isinstance(answer, Success) and isinstance(answer.unwrap(), Pong):
-            self.heard(PeerInForce(answer.unwrap().in_force, address))
+            self.on_peer_in_force(PeerInForce(answer.unwrap().in_force, address))
 
-    async def answer_ping(self, ping: Ping) -> Pong:
+    async def handle_ping(self, ping: Ping) -> Pong:
         """Answer a heartbeat; an empty one comes from another data centre."""
         if ping.news:
             self.membership.hear(ping.news, self.clock.monotonic())
-            self.publish()
-            self.heard(PeerInForce(ping.in_force, ping.news[0].address))
+            self.publish_live_members()
+            self.on_peer_in_force(PeerInForce(ping.in_force, ping.news[0].address))
             return Pong(self.membership.news(), self.in_force())
         return Pong((), self.in_force())
 
-    async def answer_offer(self, offer: Offer) -> Taken:
+    async def handle_offer(self, offer: Offer) -> Taken:
         """Take what a peer has newly in force."""
         ip, _, port = offer.address.rpartition(":")
-        self.heard(PeerInForce(offer.in_force, Address(ip, int(port))))
+        self.on_peer_in_force(PeerInForce(offer.in_force, Address(ip, int(port))))
         return Taken()
 
-    def publish(self) -> None:
+    def publish_live_members(self) -> None:
         """Tell the other tasks when the set of live members changes."""
         live = self.membership.live()
-        known = [(m.host_id, m.incarnation) for m in self.live.value]
+        known = [(m.host_id, m.incarnation) for m in self.live_members.value]
         if [(m.host_id, m.incarnation) for m in live] != known:
             self.metrics.peers.set({}, len(live))
-            self.live.on_next(live)
+            self.live_members.on_next(live)
 
     def is_reader(self) -> bool:
         """Return whether this host watches the platform for its data centre."""
         members = [m.host_id for m in self.membership.live()]
         ranked = rank(f"readers/{self.data_centre}", members)
-        return self.membership.me.host_id in ranked[:READERS]
+        return self.membership.me.host_id in ranked[:PLATFORM_READERS]
 
-    def first_peers(self) -> list[Address]:
+    def join_peers(self) -> list[Address]:
         """Return whom a new host hears: its data centre, and one host of each other."""
-        others = [m.address for m in self.membership.live() if not self.is_me(m)]
+        others = [m.address for m in self.membership.live() if not self.is_own_member(m)]
         elsewhere: dict[DataCentre, Address] = {}
         for host in self.remote_hosts():
             elsewhere.setdefault(host.data_centre, host.peer_address)
         return others + list(elsewhere.values())
 
-    def is_me(self, member: Member) -> bool:
+    def is_own_member(self, member: Member) -> bool:
         """Return whether a member is this host."""
         return member.host_id == self.membership.me.host_id
 
-    def spread(self) -> None:
+    def announce_in_force(self) -> None:
         """Tell at once what is newly in force: locally all, elsewhere two of each."""
-        targets = [m.address for m in self.membership.live() if not self.is_me(m)]
+        targets = [m.address for m in self.membership.live() if not self.is_own_member(m)]
         told: dict[DataCentre, int] = {}
         for host in self.random.sample(self.remote_hosts(), len(self.remote_hosts())):
-            if told.get(host.data_centre, 0) < READERS and self.is_reader():
+            if told.get(host.data_centre, 0) < PLATFORM_READERS and self.is_reader():
                 told[host.data_centre] = told.get(host.data_centre, 0) + 1
                 targets.append(host.peer_address)
         if self.is_reader():
-            self.tell(targets)
+            self.send_offers(targets)
 
-    def tell(self, targets: list[Address]) -> None:
+    def send_offers(self, targets: list[Address]) -> None:
         """Send an offer to some hosts without waiting for them."""
         offer = Offer(self.in_force(), str(self.membership.me.address))
         for address in targets:
-            task = asyncio.create_task(self.send(address, offer))
+            task = asyncio.create_task(self.send_offer(address, offer))
             self.sending.add(task)
             task.add_done_callback(self.sending.discard)
 
-    async def send(self, address: Address, offer: Offer) -> None:
+    async def send_offer(self, address: Address, offer: Offer) -> None:
         """Send one offer; a host that misses it hears of it by heartbeat."""
         await self.peers.call(address, offer)
 
-    async def leave(self) -> None:
+    async def announce_leaving(self) -> None:
         """Tell the members that this host is leaving."""
         self.membership.leave()
-        self.publish()
+        self.publish_live_members()
         ping = Ping(self.membership.news(), self.in_force())
         peers = [m.address for m in self.membership.live()]
         await asyncio.gather(*[self.peers.call(address, ping) for address in peers])
 
-    def health_of(self) -> dict[str, str]:
+    def health_by_member(self) -> dict[str, str]:
         """Return how each member is seen, for operators."""
         known = self.membership.known.items()
         seen = {str(host_id): k.member.health.name.lower() for host_id, k in known}
--- a/packages/daemon/src/sardinequay_daemon/operators.py
+++ b/packages/daemon/src/sardinequay_daemon/operators.py
@@ -11,7 +11,7 @@
 from sardinequay_core.names import TargetId
 
 from .content_guard import HeldContent
-from .host_pages import Lift, add_lift
+from .host_pages import LiftQuarantine, add_lift_route
 from .journal import Journal
 from .metrics import Metrics
 
@@ -55,53 +55,53 @@
         source: StatusSource,
         metrics: Metrics,
         journal: Journal,
-        before_metrics: Callable[[], None],
-        lift: Lift,
+        update_metrics: Callable[[], None],
+        lift_quarantine: LiftQuarantine,
     ) -> None:
         self.source = source
         self.metrics = metrics
         self.journal = journal
-        self.before_metrics = before_metrics
-        self.lift = lift
+        self.update_metrics = update_metrics
+        self.lift_quarantine = lift_quarantine
 
     def app(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application()
-        app.router.add_get("/healthz", self.health)
-        app.router.add_get("/readyz", self.ready)
-        app.router.add_get("/metrics", self.publish)
-        app.router.add_get("/v1/status", self.status)
-        app.router.add_get("/v1/explain/{subject}", self.explain)
-        add_lift(app, self.lift)
+        app.router.add_get("/healthz", self.show_health)
+        app.router.add_get("/readyz", self.show_readiness)
+        app.router.add_get("/metrics", self.show_metrics)
+        app.router.add_get("/v1/status", self.show_status)
+        app.router.add_get("/v1/explain/{subject}", self.show_explanation)
+        add_lift_route(app, self.lift_quarantine)
         return app
 
-    async def health(self, _: web.Request) -> web.Response:
+    async def show_health(self, _: web.Request) -> web.Response:
         """Answer that the process lives."""
         return web.json_response({"healthy": True})
 
-    async def ready(self, _: web.Request) -> web.Response:
+    async def show_readiness(self, _: web.Request) -> web.Response:
         """Answer whether the balancer may send requests here."""
         is_ready = self.source.is_ready()
         return web.json_response({"ready": is_ready}, status=200 if is_ready else 503)
 
-    async def publish(self, request: web.Request) -> web.Response:
+    async def show_metrics(self, request: web.Request) -> web.Response:
         """Answer with the metrics."""
-        self.before_metrics()
+        self.update_metrics()
         accept = request.headers.getall("Accept", [])
         body, headers = render(self.metrics.registry, accept)
         return web.Response(body=body, headers=headers)
 
-    async def status(self, _: web.Request) -> web.Response:
+    async def show_status(self, _: web.Request) -> web.Response:
         """Answer with what is in force here."""
-        return as_json(self.source.status())
+        return json_response(self.source.status())
 
-    async def explain(self, request: web.Request) -> web.Response:
+    async def show_explanation(self, request: web.Request) -> web.Response:
         """Answer with what is remembered of a request, a load or an eviction."""
         entries = self.journal.explain(request.match_info["subject"])
-        return as_json(entries, status=200 if entries else 404)
+        return json_response(entries, status=200 if entries else 404)
 
 
-def as_json(value: Any, status: int = 200) -> web.Response:
+def json_response(value: Any, status: int = 200) -> web.Response:
     """Return a value as a JSON response."""
     return web.Response(
         body=msgspec.json.encode(value), status=status, content_type="application/json"
--- a/packages/daemon/src/sardinequay_daemon/platform.py
+++ b/packages/daemon/src/sardinequay_daemon/platform.py
@@ -20,12 +20,12 @@
 
 ROOT_KEY = "root"
 REVISION_HEADER = "X-Revision"
-ANSWER_MARGIN_S = 5.0
+WATCH_TIMEOUT_MARGIN_S = 5.0
 """How much longer than asked for a watch may take before it counts as dead."""
 
 
 @dataclass(frozen=True, slots=True)
-class Value:
+class PublishedValue:
     """A published value and its revision; no data if it did not change."""
 
     revision: int
@@ -37,7 +37,7 @@
 
     async def watch_root(
         self, after: int, wait_s: float
-    ) -> Result[Value, PlatformError]:
+    ) -> Result[PublishedValue, PlatformError]:
         """Return the signed root once its revision is above `after`, or in the end."""
 
     async def blob(self, digest: Digest) -> Result[bytes, PlatformError]:
@@ -64,26 +64,26 @@
 
     async def get(
         self, path: str, after: int | None = None, wait_s: float = 0.0
-    ) -> Result[Value, PlatformError]:
+    ) -> Result[PublishedValue, PlatformError]:
         """Read a value, or wait for a later one than `after`."""
         self.metrics.platform_calls.inc({"service": self.name})
         params = {} if after is None else {"after": str(after), "wait_s": str(wait_s)}
-        timeout = aiohttp.ClientTimeout(total=wait_s + ANSWER_MARGIN_S)
+        timeout = aiohttp.ClientTimeout(total=wait_s + WATCH_TIMEOUT_MARGIN_S)
         try:
             async with self.session.get(
                 self.url + path, params=params, timeout=timeout
             ) as answer:
-                return await self.read(path, answer)
+                return await self.read_response(path, answer)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Failure(PlatformError(self.name, f"{path}: {error!r}"))
 
-    async def read(
+    async def read_response(
         self, path: str, answer: aiohttp.ClientResponse
-    ) -> Result[Value, PlatformError]:
+    ) -> Result[PublishedValue, PlatformError]:
         """Turn an answer into a value."""
         revision = int(answer.headers.get(REVISION_HEADER, "0"))
         if answer.status == 304:
-            return Success(Value(revision, None))
+            return Success(PublishedValue(revision, None))
         if answer.status != 200:
             return Failure(PlatformError(self.name, f"{path}: {answer.status}"))
         data = await answer.content.read(MAX_VALUE_BYTES + 1)
@@ -91,7 +91,7 @@
             data += await answer.content.read(MAX_VALUE_BYTES + 1)
         if len(data) > MAX_VALUE_BYTES:
             return Failure(PlatformError(self.name, f"{path}: over the limit"))
-        return Success(Value(revision, data))
+        return Success(PublishedValue(revision, data))
 
 
 class HttpConfigurationService:
@@ -102,7 +102,7 @@
 
     async def watch_root(
         self, after: int, wait_s: float
-    ) -> Result[Value, PlatformError]:
+    ) -> Result[PublishedValue, PlatformError]:
         """Return the signed root once its revision is above `after`, or in the end."""
         return await self.reader.get(f"/v1/values/{ROOT_KEY}", after, wait_s)
 
@@ -124,7 +124,7 @@
         return value.bind(decode_roster)
 
 
-def decode_roster(value: Value) -> Result[Roster, PlatformError]:
+def decode_roster(value: PublishedValue) -> Result[Roster, PlatformError]:
     """Decode the list; an unchanged one comes as a number without members."""
     if value.data is None:
         return Success(Roster(value.revision))
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -136,7 +136,7 @@
 
     def repeat_use(self, exchange: Exchange, now: Instant) -> RepeatUse:
         """Return what of this host's share of repeats at a pool is used."""
-        return self.state.budget(exchange.pool).use(self.state.size.hosts(), now)
+        return self.state.budget(exchange.pool).use(self.state.size.estimated_hosts(), now)
 
     def log_step(
         self, exchange: Exchange, end: AttemptEnd, step: Next, use: RepeatUse
@@ -176,7 +176,7 @@
         attempt.enter()
         try:
             with self.parts.tracing.child_span("target", exchange.span) as span:
-                attempt.trace_headers = self.parts.tracing.headers(span)
+                attempt.trace_headers = self.parts.tracing.propagation_headers(span)
                 end = await attempt.run(sink)
         except TargetError as error:
             end = attempt.failed(error)
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -103,7 +103,7 @@
             was = before.targets.get(target_id)
             if was is not None and was.incarnation < published.incarnation:
                 self.forget_start(target_id)
-        self.quotas.take_catalogue(before, catalogue)
+        self.quotas.apply_catalogue(before, catalogue)
         known = frozenset(catalogue.targets)
         self.health.forget(known)
         self.residency.forget(known)
@@ -144,7 +144,7 @@
         self.loads.hear(host_id, digest.shares, now)
         self.health.tally.hear(host_id, digest.outcomes, now)
         self.demand.hear(host_id, digest.demand, now)
-        self.quotas.take_part(heard)
+        self.quotas.record_partial_usage(heard)
         uses = {(u.target, u.adapter): u.count for u in digest.uses}
         self.uses.replace(host_id, uses)
 
@@ -168,7 +168,7 @@
         self.loads.hear_all(host_id, digest.shares, now)
         self.health.tally.hear_all(host_id, digest.outcomes, now)
         self.demand.hear_all(host_id, digest.demand, now)
-        self.quotas.take_sum(heard)
+        self.quotas.record_total_usage(heard)
         for peer in tuple(self.uses.peers):
             self.uses.forget(peer)
 
@@ -207,7 +207,7 @@
         self.health.tally.forget(host_id)
         self.uses.forget(host_id)
         self.demand.forget(host_id)
-        self.quotas.forget(host_id)
+        self.quotas.remove_peer(host_id)
 
     def adapter_uses(self) -> tuple[AdapterUse, ...]:
         """Return this host's uses of adapters, for its peers."""
@@ -227,8 +227,8 @@
 
     def count_hosts(self) -> None:
         """Count the hosts that live, among which bounds on all of them are divided."""
-        self.size.count()
-        self.quotas.take_size()
+        self.size.record_live_hosts()
+        self.quotas.update_fleet_share()
 
     def take_repeat_policy(self, policy: RepeatPolicy) -> None:
         """Take another bound on further attempts; what was counted stays."""
--- a/packages/daemon/src/sardinequay_daemon/rollout_task.py
+++ b/packages/daemon/src/sardinequay_daemon/rollout_task.py
@@ -28,7 +28,7 @@
 from .messages import BlobsReply, FetchBlobs, FetchRoot, InForce, RootReply
 from .metrics import Metrics
 from .peers import PeerClient
-from .platform import ConfigurationService, Value
+from .platform import ConfigurationService, PublishedValue
 from .shared_settings import TimingSettings
 
 RETRY_S = 0.5
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InPlace:
+class InstalledBundle:
     """The bundle in force and what it was made from."""
 
     bundle: Bundle
@@ -79,27 +79,27 @@
         self.journal = journal
         self.clock = clock
         self.is_reader = is_reader
-        self.in_place: InPlace | None = None
+        self.installed: InstalledBundle | None = None
         self.bundles: BehaviorSubject[Bundle | None] = BehaviorSubject(None)
         self.revision = 0
         self.inbox = Mailbox()
-        self.changing = asyncio.Lock()
+        self.install_lock = asyncio.Lock()
 
     def in_force(self, roster_number: int) -> InForce:
         """Return what to tell peers."""
-        if self.in_place is None:
+        if self.installed is None:
             return InForce(0, "", roster_number)
-        bundle = self.in_place.bundle
+        bundle = self.installed.bundle
         return InForce(bundle.version, bundle.digest, roster_number)
 
     async def run(self, first_peers: Callable[[], Iterable[Address]]) -> None:
         """Join, then watch the service and take offers for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.take_offers())
-            await self.join(first_peers)
+            group.create_task(self.handle_offers())
+            await self.fetch_initial_roots(first_peers)
             group.create_task(self.watch())
 
-    async def join(self, first_peers: Callable[[], Iterable[Address]]) -> None:
+    async def fetch_initial_roots(self, first_peers: Callable[[], Iterable[Address]]) -> None:
         """Hear what peers have in force before the service is believed.
 
         After the bound a host that hears no peer goes on alone, and says so.
@@ -108,13 +108,13 @@
         try:
             async with asyncio.timeout(bound_s):
                 while self.rollout.heard is Heard.NOBODY_YET:
-                    await self.hear_peers(list(first_peers()))
+                    await self.fetch_roots(list(first_peers()))
                     await asyncio.sleep(JOIN_PAUSE_S)
         except TimeoutError:
             self.rollout.heard = Heard.TIMEOUT
             log.warning("no peer heard before serving", extra={"bound_s": bound_s})
 
-    async def hear_peers(self, addresses: list[Address]) -> None:
+    async def fetch_roots(self, addresses: list[Address]) -> None:
         """Ask several peers at once for the root that they have in force."""
         calls = [self.peers.call(address, FetchRoot()) for address in addresses]
         answers = await asyncio.gather(*calls)
@@ -123,7 +123,7 @@
             if not isinstance(reply, RootReply):
                 continue
             if reply.data:
-                await self.consider(reply.data, address)
+                await self.apply_root(reply.data, address)
             self.rollout.heard = Heard.PEERS
 
     async def watch(self) -> None:
@@ -133,27 +133,27 @@
         service may have been replaced, and its revisions say nothing across that.
         """
         while True:
-            if not (self.is_reader() or self.in_place is None):
+            if not (self.is_reader() or self.installed is None):
                 await asyncio.sleep(RETRY_S)
                 continue
             wait_s = self.timing.platform_wait_s if self.revision else 0.0
             found = await self.service.watch_root(self.revision, wait_s)
-            self.revision = await self.take_value(found)
-            if not self.revision or self.in_place is None:
+            self.revision = await self.apply_value(found)
+            if not self.revision or self.installed is None:
                 await asyncio.sleep(RETRY_S)
 
-    async def take_value(self, found: Result[Value, PlatformError]) -> int:
+    async def apply_value(self, found: Result[PublishedValue, PlatformError]) -> int:
         """Take what was read; return the revision to watch from, 0 to read anew."""
         if not isinstance(found, Success):
             error = str(found.failure())
             log.warning("configuration service not read", extra={"error": error})
             return 0
-        value: Value = found.unwrap()
-        if value.data is None or not await self.consider(value.data, None):
+        value: PublishedValue = found.unwrap()
+        if value.data is None or not await self.apply_root(value.data, None):
             return 0
         return value.revision
 
-    async def take_offers(self) -> None:
+    async def handle_offers(self) -> None:
         """Fetch newer bundles from the peers that offer them."""
         while True:
             offer: PeerOffer = (await self.inbox.queue.get()).message
@@ -161,9 +161,9 @@
                 continue
             found = await self.peers.call(offer.address, FetchRoot())
             if isinstance(found, Success) and isinstance(found.unwrap(), RootReply):
-                await self.consider(found.unwrap().data, offer.address)
+                await self.apply_root(found.unwrap().data, offer.address)
 
-    async def consider(self, data: bytes, source: Address | None) -> bool:
+    async def apply_root(self, data: bytes, source: Address | None) -> bool:
         """Judge a signed root, and put it in force if it is newer and whole.
 
         Returns
@@ -171,10 +171,10 @@
         bool
             False if it is worth another try, because parts of it were not to be had.
         """
-        async with self.changing:
+        async with self.install_lock:
             judged = self.rollout.judge(data)
             if not isinstance(judged, Success):
-                self.refuse(judged.failure(), data)
+                self.record_refusal(judged.failure(), data)
                 return True
             signed = judged.unwrap()
             if signed is None:
@@ -182,27 +182,27 @@
             done = await self.put_in_force(signed, data, source)
             if isinstance(done, Success):
                 return True
-            self.refuse(done.failure(), data)
+            self.record_refusal(done.failure(), data)
             return done.failure().reason != MISSING_BLOB
 
-    def refuse(self, error: BundleError, data: bytes) -> None:
+    def record_refusal(self, error: BundleError, data: bytes) -> None:
         """Tell of a refused bundle: count each time, log each once."""
         self.metrics.bundle_refusals.inc({"reason": error.reason})
-        digest = digest_of_signed(data)
+        digest = signed_root_digest(data)
         if not self.rollout.refuse(error, digest):
             return
         details = {"reason": error.reason, "detail": error.detail, "digest": digest}
-        self.journal.note(JOURNAL_SUBJECT, "refused", **details)
+        self.journal.record(JOURNAL_SUBJECT, "refused", **details)
         log.error("bundle refused", extra=details)
 
     async def put_in_force(
         self, signed: SignedRoot, data: bytes, source: Address | None
     ) -> Result[None, BundleError]:
         """Fetch what a newer bundle needs, assemble it whole, and switch to it."""
-        old = self.in_place
+        old = self.installed
         blobs = dict(old.blobs) if old else {}
         while wanted := sorted(missing_blobs(signed.root, blobs)):
-            fetched = await self.fetch(wanted, source)
+            fetched = await self.fetch_blobs(wanted, source)
             if not fetched:
                 return Failure(BundleError(MISSING_BLOB, f"{len(wanted)} blobs"))
             blobs.update(fetched)
@@ -218,16 +218,16 @@
         }
         kept = {d: blobs[d] for d in needed}
         self.rollout.put_in_force(signed)
-        self.in_place = InPlace(bundle, data, kept, self.clock.now())
+        self.installed = InstalledBundle(bundle, data, kept, self.clock.now())
         self.metrics.bundle_version.set({}, bundle.version)
-        self.journal.note(
+        self.journal.record(
             JOURNAL_SUBJECT, "in force", version=bundle.version, source=str(source)
         )
         log.info("bundle in force", extra={"bundle": bundle.version})
         self.bundles.on_next(bundle)
         return Success(None)
 
-    async def fetch(
+    async def fetch_blobs(
         self, wanted: list[Digest], source: Address | None
     ) -> dict[Digest, bytes]:
         """Fetch some blobs from the peer that offered the bundle, or the service."""
@@ -244,17 +244,17 @@
         by_digest = {blob_digest(blob): blob for blob in blobs}
         return {d: by_digest[d] for d in some if d in by_digest}
 
-    async def answer_root(self, _: FetchRoot) -> RootReply:
+    async def handle_fetch_root(self, _: FetchRoot) -> RootReply:
         """Answer a peer that asks for the root in force."""
-        return RootReply(self.in_place.data if self.in_place else b"")
+        return RootReply(self.installed.data if self.installed else b"")
 
-    async def answer_blobs(self, message: FetchBlobs) -> BlobsReply:
+    async def handle_fetch_blobs(self, message: FetchBlobs) -> BlobsReply:
         """Answer a peer that asks for blobs of the bundle in force."""
-        blobs = self.in_place.blobs if self.in_place else {}
+        blobs = self.installed.blobs if self.installed else {}
         return BlobsReply(tuple(blobs[d] for d in message.digests if d in blobs))
 
 
-def digest_of_signed(data: bytes) -> Digest:
+def signed_root_digest(data: bytes) -> Digest:
     """Return the digest of a root's content, or of the bytes if they are none."""
     parsed = parse_signed(data)
     if isinstance(parsed, Success):
--- a/packages/daemon/src/sardinequay_daemon/roster_task.py
+++ b/packages/daemon/src/sardinequay_daemon/roster_task.py
@@ -59,32 +59,32 @@
         """Read the list, and take what peers offer, for good."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.watch())
-            group.create_task(self.take_offers())
+            group.create_task(self.handle_offers())
 
     async def watch(self) -> None:
         """Watch the platform as a reader; else read it as often as a guard must."""
         while True:
             is_first = self.roster.number == 0
             if is_first or self.is_reader():
-                await self.read(0 if is_first else self.timing.platform_wait_s)
+                await self.read_host_list(0 if is_first else self.timing.platform_wait_s)
             else:
                 await asyncio.sleep(self.timing.list_confirm_s)
                 if self.must_confirm():
-                    await self.read(0)
+                    await self.read_host_list(0)
 
-    async def read(self, wait_s: float) -> None:
+    async def read_host_list(self, wait_s: float) -> None:
         """Read the platform's list once."""
         found = await self.host_list.watch(self.roster.number, wait_s)
         if not isinstance(found, Success):
             log.warning("host list not read", extra={"error": str(found.failure())})
             await asyncio.sleep(RETRY_S)
             return
-        self.take(found.unwrap())
+        self.apply_roster(found.unwrap())
         self.direct_reads.on_next(self.roster)
         if self.roster.number == 0:
             await asyncio.sleep(RETRY_S)
 
-    def take(self, roster: Roster) -> None:
+    def apply_roster(self, roster: Roster) -> None:
         """Publish a later state of the list; an earlier one is old news."""
         if roster.number <= self.roster.number:
             return
@@ -92,20 +92,20 @@
         self.metrics.roster_number.set({}, roster.number)
         self.rosters.on_next(roster)
 
-    async def take_offers(self) -> None:
+    async def handle_offers(self) -> None:
         """Fetch the roster from peers that say they have a later one."""
         while True:
             envelope = await self.inbox.queue.get()
             number, address = envelope.message
             if number > self.roster.number:
-                await self.fetch(address)
+                await self.fetch_roster(address)
 
-    async def fetch(self, address: Address) -> None:
+    async def fetch_roster(self, address: Address) -> None:
         """Fetch the roster from a peer."""
         found = await self.peers.call(address, FetchRoster())
         if isinstance(found, Success) and isinstance(found.unwrap(), RosterReply):
-            self.take(found.unwrap().roster)
+            self.apply_roster(found.unwrap().roster)
 
-    async def answer_fetch(self, _: FetchRoster) -> RosterReply:
+    async def handle_fetch(self, _: FetchRoster) -> RosterReply:
         """Answer a peer that asks for the roster."""
         return RosterReply(self.roster)
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -140,7 +140,7 @@
     ) -> None:
         """Permit another attempt by returning, or raise the request's failure."""
         self.avoided[target.target_id] = self.clock.monotonic() + AVOID_FOR
-        self.journal.note(
+        self.journal.record(
             request.envelope.request_id,
             "failed",
             target=target.target_id,
@@ -161,7 +161,7 @@
         """
         may_use_kept = request.is_repeatable and is_first
         session = self.session if may_use_kept else self.fresh_session
-        self.journal.note(
+        self.journal.record(
             request.envelope.request_id, "dispatched", target=target.target_id
         )
         with TurnedErrors():
@@ -179,7 +179,7 @@
         headers = pass_through(request.headers)
         headers.popall("Authorization", None)
         headers["X-Request-Id"] = request.envelope.request_id
-        headers.update(self.tracing.headers(span))
+        headers.update(self.tracing.propagation_headers(span))
         return headers
 
 
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -21,12 +21,12 @@
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, PermitBack
-from .decision_log import BoundedOutput
+from .decision_log import NonBlockingLogHandler
 from .digest_writer import DigestWriter
 from .end_watch import EndWatch
 from .errors import StartError
 from .fleet_task import FleetTask, ReceivedDigest
-from .host_pages import pages_app
+from .host_pages import create_status_app
 from .order_lease_task import OrderLeaseTask
 from .order_task import OrderTask
 from .peers import PeerClient, PeerServer
@@ -103,7 +103,7 @@
         clock: Clock,
         random: Random,
         tracing: Tracing,
-        output: BoundedOutput,
+        output: NonBlockingLogHandler,
         began: Instant,
     ) -> None:
         self.profile = deployment.profile
@@ -144,7 +144,7 @@
             self.fleet,
             slack_from=ZERO if profile.is_first_start else began + SLACK_AFTER,
         )
-        self.state.quotas.take_policy(bounds.quotas)
+        self.state.quotas.apply_policy(bounds.quotas)
         self.state.health.turn = turn_of(profile.host_id)
         self.lease = OrderLeaseTask(
             profile.host_id,
@@ -223,17 +223,17 @@
         self.store.catalogues.subscribe(self.guard.take_catalogue)
         self.fleet.digests.subscribe(self.state.take_digest)
         self.fleet.digests.subscribe(self.take_contents)
-        self.fleet.digests.subscribe(self.writer.take_digest)
+        self.fleet.digests.subscribe(self.writer.handle_digest)
         self.fleet.digests.subscribe(self.take_digest)
         self.fleet.lost_peers.subscribe(self.state.lose_peer)
-        self.fleet.lost_peers.subscribe(self.writer.tell_anew)
+        self.fleet.lost_peers.subscribe(self.writer.reset_sent_state)
         self.fleet.holds_lease = lambda: self.lease.is_holder
         self.lease.newest_revision = lambda: self.store.newest_revision
         server = self.peer_server
         server.register(Digest, self.fleet.answer_digest)
         server.register(AskPermit, self.guard.answer_ask)
         server.register(PermitBack, self.guard.answer_back)
-        server.register(FetchItems, self.store.answer_fetch)
+        server.register(FetchItems, self.store.handle_fetch)
         server.register(Ballot, self.lease.answer_ballot)
         server.register(Resign, self.lease.answer_resign)
         server.register(WantAdapter, self.orders.wishes.answer)
@@ -245,7 +245,7 @@
         self.profile = replace(self.profile, seeds=profile.seeds, bounds=profile.bounds)
         self.fleet.set_seeds(profile.seeds)
         self.state.take_repeat_policy(profile.bounds.repeats)
-        self.state.quotas.take_policy(profile.bounds.quotas)
+        self.state.quotas.apply_policy(profile.bounds.quotas)
         self.lease.take_policy(OrderPolicy(quiet=profile.bounds.order_quiet))
         log.info("settings reloaded", extra={"seeds": [str(s) for s in profile.seeds]})
 
@@ -253,7 +253,7 @@
 
     def digest(self, host_id: HostId) -> Digest:
         """Return what to tell a peer now."""
-        return self.writer.digest(host_id)
+        return self.writer.build_digest(host_id)
 
     def tell_holdings(self) -> None:
         """Let this host and its peers know what engines hold now."""
@@ -275,7 +275,7 @@
         """Fetch what a peer knows of the store and this host does not."""
         digest = heard.digest
         is_idle = self.fetching is None or self.fetching.done()
-        self.store.hear_revision(digest.store_revision)
+        self.store.record_peer_revision(digest.store_revision)
         if digest.news_revision > self.store.catalogue.revision and is_idle:
             self.fetching = asyncio.create_task(self.fetch(digest.host.host_id))
 
@@ -287,7 +287,7 @@
         ask = FetchItems(self.store.catalogue.revision)
         answer = (await self.peers.call(address, ask)).value_or(None)
         if isinstance(answer, ItemsReply):
-            self.store.take_from_peer(answer)
+            self.store.apply_peer_items(answer)
 
     # Life.
 
@@ -321,15 +321,15 @@
             peer_listener.close()
             await self.close()
             log.info("stopped", extra={"in_flight": self.server.in_flight})
-            self.output.drain()
+            self.output.write_pending()
 
     async def tidy(self) -> None:
         """Write what waits in the log, and keep memory from growing in cycles."""
         gc.freeze()
         while True:
             await asyncio.sleep(0.5)
-            self.output.drain()
-            self.metrics.log_lines_left_out.set({}, self.output.left_out)
+            self.output.write_pending()
+            self.metrics.log_lines_left_out.set({}, self.output.left_out_lines)
             self.metrics.in_flight.set({}, self.server.in_flight)
             self.guard.expire()
             self.state.count_hosts()
@@ -348,7 +348,7 @@
             )
             await self.serve_http(ready, profile.readiness)
             metrics = web.AppRunner(
-                pages_app(self.metrics.registry, self.status, self.guard.lift),
+                create_status_app(self.metrics.registry, self.status, self.guard.lift),
                 access_log=None,
             )
             await self.serve_http(metrics, profile.metrics)
@@ -369,7 +369,7 @@
 
     def store_age_s(self) -> float:
         """Return how long ago this host or a peer heard the store, in seconds."""
-        return min(self.store.standing().age_s, self.fleet.freshest_store_age_s())
+        return min(self.store.status().age_s, self.fleet.freshest_store_age_s())
 
     def status(self) -> dict[str, object]:
         """Return what is in force on this host, for operators."""
--- a/packages/daemon/src/sardinequay_daemon/span_export.py
+++ b/packages/daemon/src/sardinequay_daemon/span_export.py
@@ -38,7 +38,7 @@
         self.file.close()
 
 
-def exporters(settings: TraceSettings) -> list[SpanExporter]:
+def create_exporters(settings: TraceSettings) -> list[SpanExporter]:
     """Return where spans go."""
     chosen: list[SpanExporter] = []
     if settings.otlp:
@@ -53,13 +53,13 @@
     return chosen
 
 
-def provider_of(settings: TraceSettings, host_id: str) -> TracerProvider:
+def create_tracer_provider(settings: TraceSettings, host_id: str) -> TracerProvider:
     """Return what makes spans that are sent to the destinations of the settings."""
     provider = TracerProvider(
         sampler=ParentBasedTraceIdRatio(settings.sample),
         resource=Resource({"service.name": "sardinequayd", "host.name": host_id}),
         shutdown_on_exit=False,
     )
-    for exporter in exporters(settings):
+    for exporter in create_exporters(settings):
         provider.add_span_processor(BatchSpanProcessor(exporter))
     return provider
--- a/packages/daemon/src/sardinequay_daemon/store_task.py
+++ b/packages/daemon/src/sardinequay_daemon/store_task.py
@@ -32,32 +32,32 @@
 from .serving_messages import FetchItems, ItemsReply
 from .serving_ports import MetadataStore, StoreItem, StoreRead
 
-WATCH_WAIT = seconds(1)
+WATCH_TIMEOUT = seconds(1)
 """How long a watch waits; only its end shows that a connection went silent."""
 
 BATCH_PAUSE_S = 0.3
 """Between two watches: entries change several times a second, calls are counted."""
 
-RETRY_S = (0.1, 0.25, 0.5, 0.5, 1.0)
+RETRY_DELAYS_S = (0.1, 0.25, 0.5, 0.5, 1.0)
 """Pauses after failed reads; at most a second, since changes must be followed fast."""
 
 LARGE_LISTING_MBIT = 8.0
 """A configuration of its largest size. Peers pass it on compressed to a tenth."""
 
-LONGEST_HEAD_START_S = 0.5
+MAX_HEAD_START_S = 0.5
 """How long a host that starts again waits at most for what peers know, in seconds."""
 
-FRESH_PEER_S = 2.0
+FRESH_READER_AGE_S = 2.0
 """A reader that heard the store within this is relied on: a watch and its bound."""
 
-IDLE_S = 0.1
+READER_CHECK_PERIOD_S = 0.1
 """How often a host that does not read looks whether it must."""
 
-RENEWALS_TOLD = seconds(2)
+RENEWAL_ANNOUNCEMENT_PERIOD = seconds(2)
 """How often peers are told of a revision that brought nothing but renewed entries: all
 hosts would fetch dozens of entries a second that say what they know already."""
 
-LAPSE_AFTER_S = 2.0
+LAPSE_OUTAGE_S = 2.0
 """Once nobody has heard the store for so long, entries may have lapsed in it: a target
 renews its own about every 1.2 s, and it lapses after three renewals that failed. After
 a shorter trouble an entry that vanished is one of a target that leaves."""
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreStanding:
+class StoreStatus:
     """What this host tells its peers of the store.
 
     Parameters
@@ -107,7 +107,7 @@
         store: MetadataStore,
         clock: Clock,
         random: Random,
-        entry_return: timedelta,
+        entry_return_time: timedelta,
         is_reader: Callable[[], bool],
         freshest_peer_age_s: Callable[[], float],
         has_hub: Callable[[], bool] = lambda: False,
@@ -116,23 +116,23 @@
         self.store = store
         self.clock = clock
         self.random = random
-        self.entry_return = entry_return
+        self.entry_return_time = entry_return_time
         self.is_reader = is_reader
         self.freshest_peer_age_s = freshest_peer_age_s
         self.has_hub = has_hub
         self.head_start_s = head_start_s
-        self.peers_know = asyncio.Event()
+        self.peer_has_items = asyncio.Event()
         self.catalogues: BehaviorSubject[Catalogue] = BehaviorSubject(Catalogue())
         self.items: dict[str, StoreItem] = {}
         self.removed: dict[str, StoreItem] = {}
-        self.heard_at: Instant | None = None
+        self.last_read_at: Instant | None = None
         self.lapse_until: Instant | None = None
         self.failures = 0
         self.must_list = True
         self.unreadable: set[str] = set()
-        self.heard_revision = 0
-        self.told_revision = 0
-        self.told_at = clock.monotonic()
+        self.peer_revision = 0
+        self.announced_revision = 0
+        self.announced_at = clock.monotonic()
 
     @property
     def catalogue(self) -> Catalogue:
@@ -143,30 +143,30 @@
 
     async def run(self) -> None:
         """Follow the store for good."""
-        await self.hears_peers(self.head_start_s)
+        await self.wait_for_peer_items(self.head_start_s)
         while True:
             if self.may_rely_on_peers():
-                await asyncio.sleep(IDLE_S)
-                self.expire()
+                await asyncio.sleep(READER_CHECK_PERIOD_S)
+                self.expire_unconfirmed()
                 continue
             await self.read_once()
 
-    async def hears_peers(self, within_s: float) -> bool:
+    async def wait_for_peer_items(self, within_s: float) -> bool:
         """Return whether a peer tells within a time what the store holds."""
         try:
             async with asyncio.timeout(within_s):
-                return await self.peers_know.wait()
+                return await self.peer_has_items.wait()
         except TimeoutError:
             return False
 
-    async def list_unless_told(self) -> Result[StoreRead, PlatformError] | None:
+    async def list_unless_peer_replies(self) -> Result[StoreRead, PlatformError] | None:
         """List the store; None if a peer told what it holds before that was done.
 
         On a slow link a listing of a large configuration takes seconds, and what peers
         tell comes no sooner beside it.
         """
         listing = asyncio.create_task(self.store.list_all())
-        telling = asyncio.create_task(self.peers_know.wait())
+        telling = asyncio.create_task(self.peer_has_items.wait())
         try:
             await asyncio.wait((listing, telling), return_when=FIRST_COMPLETED)
             return listing.result() if listing.done() else None
@@ -180,34 +180,34 @@
         return (
             is_known
             and not self.is_reader()
-            and (self.has_hub() or self.freshest_peer_age_s() < FRESH_PEER_S)
+            and (self.has_hub() or self.freshest_peer_age_s() < FRESH_READER_AGE_S)
         )
 
     async def read_once(self) -> None:
         """List, or watch once; then pause."""
         if self.must_list:
-            self.peers_know.clear()
-            told = await self.list_unless_told()
+            self.peer_has_items.clear()
+            told = await self.list_unless_peer_replies()
             if told is None:
                 return
             read = told
         else:
-            read = await self.store.watch(self.catalogue.revision, WATCH_WAIT)
+            read = await self.store.watch(self.catalogue.revision, WATCH_TIMEOUT)
         if isinstance(read, Success):
-            self.take_read(read.unwrap(), is_whole=self.must_list)
+            self.apply_read(read.unwrap(), is_whole=self.must_list)
             await asyncio.sleep(BATCH_PAUSE_S if read.unwrap().items else 0)
             return
-        await self.take_failure(read.failure())
+        await self.handle_read_failure(read.failure())
 
-    def take_read(self, read: StoreRead, is_whole: bool) -> None:
+    def apply_read(self, read: StoreRead, is_whole: bool) -> None:
         """Take what a read gave."""
         now = self.clock.monotonic()
         if self.failures:
             log.info("store regained", extra={"failures": self.failures})
-        if self.failures and self.outage_s() >= LAPSE_AFTER_S:
-            self.lapse_until = now + self.entry_return
+        if self.failures and self.outage_s() >= LAPSE_OUTAGE_S:
+            self.lapse_until = now + self.entry_return_time
         self.failures = 0
-        self.heard_at = now
+        self.last_read_at = now
         if read.revision < self.catalogue.revision:
             # An answer older than what is known already says nothing new.
             log.warning(
@@ -218,12 +218,12 @@
             return
         self.must_list = False
         if is_whole:
-            self.take_whole(read)
+            self.apply_listing(read)
         else:
-            self.take_changes(read.items, read.revision)
-        self.expire()
+            self.apply_changes(read.items, read.revision)
+        self.expire_unconfirmed()
 
-    async def take_failure(self, error: PlatformError) -> None:
+    async def handle_read_failure(self, error: PlatformError) -> None:
         """Take a failed read, and pause before the next."""
         if error.is_history_gone:
             log.info("store lost its history", extra={"detail": error.detail})
@@ -231,27 +231,27 @@
             return
         if not self.failures:
             log.warning("store lost", extra={"detail": str(error)})
-        pause_s = RETRY_S[min(self.failures, len(RETRY_S) - 1)]
+        pause_s = RETRY_DELAYS_S[min(self.failures, len(RETRY_DELAYS_S) - 1)]
         self.failures += 1
-        self.expire()
+        self.expire_unconfirmed()
         await asyncio.sleep(pause_s * self.random.uniform(0.75, 1.25))
 
     # Folding.
 
-    def absence(self) -> Absence:
+    def absence_rule(self) -> Absence:
         """Return how a vanished entry is to be taken now."""
         now = self.clock.monotonic()
-        if self.failures and self.outage_s() >= LAPSE_AFTER_S:
-            return Absence(now + self.entry_return)
+        if self.failures and self.outage_s() >= LAPSE_OUTAGE_S:
+            return Absence(now + self.entry_return_time)
         if self.lapse_until is not None and now < self.lapse_until:
             return Absence(self.lapse_until)
         return Absence()
 
     def outage_s(self) -> float:
         """Return for how long neither this host nor a peer has heard the store."""
-        return min(self.standing().age_s, self.freshest_peer_age_s())
+        return min(self.status().age_s, self.freshest_peer_age_s())
 
-    def take_whole(self, read: StoreRead) -> None:
+    def apply_listing(self, read: StoreRead) -> None:
         """Take a complete listing."""
         listed = {item.key: item for item in read.items}
         for key, item in self.items.items():
@@ -261,21 +261,21 @@
                 )
         self.items = listed
         changes = tuple(c for c in map(self.decode, read.items) if c is not None)
-        self.publish(
-            replace_listing(self.catalogue, changes, read.revision, self.absence())
+        self.publish_catalogue(
+            replace_listing(self.catalogue, changes, read.revision, self.absence_rule())
         )
 
-    def take_changes(self, items: tuple[StoreItem, ...], revision: int) -> None:
+    def apply_changes(self, items: tuple[StoreItem, ...], revision: int) -> None:
         """Take items that changed, in order."""
         catalogue = self.catalogue
         for item in items:
-            self.keep(item)
+            self.save_item(item)
             change = self.decode(item)
             if change is not None:
-                catalogue = fold(change, catalogue, self.absence())
-        self.publish(replace(catalogue, revision=max(revision, catalogue.revision)))
+                catalogue = fold(change, catalogue, self.absence_rule())
+        self.publish_catalogue(replace(catalogue, revision=max(revision, catalogue.revision)))
 
-    def keep(self, item: StoreItem) -> None:
+    def save_item(self, item: StoreItem) -> None:
         """Keep an item for peers."""
         if item.value is None:
             self.items.pop(item.key, None)
@@ -307,16 +307,16 @@
         self.unreadable.add(key)
         log.error("item not understood", extra={"key": key, "detail": detail})
 
-    def publish(self, catalogue: Catalogue) -> None:
+    def publish_catalogue(self, catalogue: Catalogue) -> None:
         """Make a catalogue known if it says anything new."""
         before = self.catalogue
         if catalogue == before:
             return
         self.log_differences(before, catalogue)
-        is_due = self.clock.monotonic() - self.told_at >= RENEWALS_TOLD
+        is_due = self.clock.monotonic() - self.announced_at >= RENEWAL_ANNOUNCEMENT_PERIOD
         if is_due or not says_the_same(before, catalogue):
-            self.told_revision = catalogue.revision
-            self.told_at = self.clock.monotonic()
+            self.announced_revision = catalogue.revision
+            self.announced_at = self.clock.monotonic()
         self.catalogues.on_next(catalogue)
 
     def log_differences(self, before: Catalogue, after: Catalogue) -> None:
@@ -345,34 +345,34 @@
                     },
                 )
 
-    def expire(self) -> None:
+    def expire_unconfirmed(self) -> None:
         """Drop targets whose entries did not come back.
 
         While the store is in trouble no entry can come back.
         """
         if self.catalogue.unconfirmed and not self.failures:
-            self.publish(expire(self.catalogue, self.clock.monotonic()))
+            self.publish_catalogue(expire(self.catalogue, self.clock.monotonic()))
 
     # Peers.
 
-    def standing(self) -> StoreStanding:
+    def status(self) -> StoreStatus:
         """Return what to tell peers."""
-        heard = self.heard_at
+        heard = self.last_read_at
         age = float("inf")
         if heard is not None:
             age = (self.clock.monotonic() - heard).total_seconds()
-        return StoreStanding(self.newest_revision, self.told_revision, age)
+        return StoreStatus(self.newest_revision, self.announced_revision, age)
 
     @property
     def newest_revision(self) -> int:
         """Return the newest revision of the store that any host is known to know."""
-        return max(self.catalogue.revision, self.heard_revision)
+        return max(self.catalogue.revision, self.peer_revision)
 
-    def hear_revision(self, revision: int) -> None:
+    def record_peer_revision(self, revision: int) -> None:
         """Take the newest revision that a peer knows of."""
-        self.heard_revision = max(self.heard_revision, revision)
+        self.peer_revision = max(self.peer_revision, revision)
 
-    async def answer_fetch(self, message: FetchItems) -> ItemsReply:
+    async def handle_fetch(self, message: FetchItems) -> ItemsReply:
         """Give a peer what changed after the revision that it knows."""
         oldest = min((i.revision for i in self.removed.values()), default=0)
         is_whole = message.after == 0 or (
@@ -387,17 +387,17 @@
         items.sort(key=lambda item: item.revision)
         return ItemsReply(tuple(items), self.catalogue.revision, is_whole)
 
-    def take_from_peer(self, reply: ItemsReply) -> None:
+    def apply_peer_items(self, reply: ItemsReply) -> None:
         """Take a peer's items if they are newer than what is known."""
         if reply.revision <= self.catalogue.revision:
             return
         read = StoreRead(reply.items, reply.revision)
         if reply.is_whole:
-            self.take_whole(read)
+            self.apply_listing(read)
         else:
-            self.take_changes(reply.items, reply.revision)
+            self.apply_changes(reply.items, reply.revision)
         self.must_list = False
-        self.peers_know.set()
+        self.peer_has_items.set()
 
 
 def head_start_s(link_mbps: float, is_first_start: bool) -> float:
@@ -408,4 +408,4 @@
     """
     if is_first_start or link_mbps <= 0:
         return 0.0
-    return min(LONGEST_HEAD_START_S, LARGE_LISTING_MBIT / link_mbps)
+    return min(MAX_HEAD_START_S, LARGE_LISTING_MBIT / link_mbps)
--- a/packages/daemon/src/sardinequay_daemon/tracing.py
+++ b/packages/daemon/src/sardinequay_daemon/tracing.py
@@ -16,7 +16,7 @@
 
 from .shared_settings import TraceSettings
 
-PROPAGATOR = TraceContextTextMapPropagator()
+TRACE_CONTEXT_PROPAGATOR = TraceContextTextMapPropagator()
 TRACE_HEADER = "traceparent"
 
 
@@ -25,13 +25,13 @@
 
     def __init__(self, settings: TraceSettings, host_id: str) -> None:
         self.is_exporting = bool(settings.otlp or settings.file)
-        self.shut_down: Callable[[], None] = lambda: None
+        self.shutdown: Callable[[], None] = lambda: None
         self.tracer: Tracer = NoOpTracer()
         if self.is_exporting:
-            from .span_export import provider_of
+            from .span_export import create_tracer_provider
 
-            provider = provider_of(settings, host_id)
-            self.shut_down = provider.shutdown
+            provider = create_tracer_provider(settings, host_id)
+            self.shutdown = provider.shutdown
             self.tracer = provider.get_tracer("sardinequay")
 
     def server_span(self, name: str, headers: Mapping[str, str]) -> Span:
@@ -41,7 +41,7 @@
         """
         if not self.is_exporting and TRACE_HEADER not in headers:
             return INVALID_SPAN
-        context = PROPAGATOR.extract(headers)
+        context = TRACE_CONTEXT_PROPAGATOR.extract(headers)
         if not self.is_exporting:
             return get_current_span(context)
         return self.tracer.start_span(name, context, kind=SpanKind.SERVER)
@@ -53,11 +53,11 @@
         context = set_span_in_context(parent)
         return self.tracer.start_span(name, context, kind=SpanKind.CLIENT)
 
-    def headers(self, span: Span) -> dict[str, str]:
+    def propagation_headers(self, span: Span) -> dict[str, str]:
         """Return the headers that carry a span's context on."""
         carrier: dict[str, str] = {}
         if span is not INVALID_SPAN:
-            PROPAGATOR.inject(carrier, set_span_in_context(span))
+            TRACE_CONTEXT_PROPAGATOR.inject(carrier, set_span_in_context(span))
         return carrier
 
 
--- a/packages/daemon/tests/test_content_spread.py
+++ b/packages/daemon/tests/test_content_spread.py
@@ -48,7 +48,7 @@
 
     def __init__(self, me: int) -> None:
         self.membership = View(member(me))
-        self.live = BehaviorSubject((member(1), member(2)))
+        self.live_members = BehaviorSubject((member(1), member(2)))
 
     def remote_hosts(self) -> list[EntryHost]:
         far = HostId("h3")
--- a/packages/daemon/tests/test_decision_log.py
+++ b/packages/daemon/tests/test_decision_log.py
@@ -11,9 +11,9 @@
 from sardinequay_daemon.decision_log import (
     FIELDS,
     MAX_BURST_LINES,
-    MAX_WAITING_BYTES,
-    RENAMED,
-    BoundedOutput,
+    MAX_PENDING_BYTES,
+    RENAMED_FIELDS,
+    NonBlockingLogHandler,
 )
 
 from .conftest import TurnedClock
@@ -29,9 +29,9 @@
 
 
 @pytest.fixture
-def output(clock: TurnedClock, pipe) -> BoundedOutput:
-    made = BoundedOutput(clock, pipe[1])
-    made.setFormatter(JsonFormatter(FIELDS, rename_fields=RENAMED))
+def output(clock: TurnedClock, pipe) -> NonBlockingLogHandler:
+    made = NonBlockingLogHandler(clock, pipe[1])
+    made.setFormatter(JsonFormatter(FIELDS, rename_fields=RENAMED_FIELDS))
     return made
 
 
@@ -62,7 +62,7 @@
 def test_lines_beyond_the_rate_are_counted_and_told(output, pipe, clock) -> None:
     for _ in range(int(MAX_BURST_LINES) + 50):
         output.emit(line("x"))
-    assert output.left_out == 50
+    assert output.left_out_lines == 50
     read_lines(pipe[0])
     clock.turn(1)
     output.emit(line("later"))
@@ -76,8 +76,8 @@
     for _ in range(400):
         clock.turn(1)
         output.emit(line(text))
-    assert output.left_out
-    assert output.waiting_bytes < MAX_WAITING_BYTES + 20_000
+    assert output.left_out_lines
+    assert output.pending_bytes < MAX_PENDING_BYTES + 20_000
 
 
 def test_waiting_lines_arrive_whole_once_somebody_reads(output, pipe, clock) -> None:
@@ -86,9 +86,9 @@
         output.emit(line("z" * 3000, n=n))
     found = []
     for _ in range(20):
-        reading = os.read(pipe[0], 40_000) if output.waiting else b""
+        reading = os.read(pipe[0], 40_000) if output.pending_lines else b""
         found.append(reading)
-        output.drain()
+        output.write_pending()
     found.append(os.read(pipe[0], 1_000_000))
     lines = [json.loads(part) for part in b"".join(found).splitlines()]
     assert [x["n"] for x in lines] == list(range(60))
@@ -96,8 +96,8 @@
 
 def test_closed_reader_is_no_error(clock: TurnedClock) -> None:
     reading, writing = os.pipe()
-    made = BoundedOutput(clock, writing)
+    made = NonBlockingLogHandler(clock, writing)
     os.close(reading)
     made.emit(line("x"))
-    assert not made.waiting
+    assert not made.pending_lines
     os.close(writing)
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -49,7 +49,7 @@
     Digest,
     EngineHoldings,
 )
-from sardinequay_daemon.store_task import FRESH_PEER_S, StoreStanding
+from sardinequay_daemon.store_task import FRESH_READER_AGE_S, StoreStatus
 
 from .conftest import TurnedClock
 
@@ -74,8 +74,8 @@
 
     age_s: float = 0.1
 
-    def standing(self) -> StoreStanding:
-        return StoreStanding(1, 1, self.age_s)
+    def status(self) -> StoreStatus:
+        return StoreStatus(1, 1, self.age_s)
 
 
 @dataclass
@@ -124,9 +124,9 @@
         self.fleet.digests.subscribe(self.state.take_digest)
         self.fleet.digests.subscribe(self.take_contents)
         self.contents_heard = 0
-        self.fleet.digests.subscribe(self.writer.take_digest)
+        self.fleet.digests.subscribe(self.writer.handle_digest)
         self.fleet.lost_peers.subscribe(self.state.lose_peer)
-        self.fleet.lost_peers.subscribe(self.writer.tell_anew)
+        self.fleet.lost_peers.subscribe(self.writer.reset_sent_state)
         self.is_down = False
         self.next_near = self.next_far = 0.0
 
@@ -146,7 +146,7 @@
         return bool(self.state.quarantine.hold_left(FATAL, now))
 
     def tell(self, host_id: HostId) -> Digest:
-        return self.writer.digest(host_id)
+        return self.writer.build_digest(host_id)
 
 
 class World:
@@ -513,7 +513,7 @@
         host.writer.store.age_s = 7.0
     world.pass_time(2)
     for host in world.hosts:
-        assert host.fleet.freshest_store_age_s() >= FRESH_PEER_S, host.me
+        assert host.fleet.freshest_store_age_s() >= FRESH_READER_AGE_S, host.me
 
 
 def test_outage_of_the_store_makes_few_hosts_read(world: World) -> None:
@@ -543,7 +543,7 @@
     now = host.fleet.clock.monotonic()
     host.state.count_hosts()
     results = [
-        host.state.quotas.book.admit(NORTH, tokens, now) for _ in range(requests)
+        host.state.quotas.ledger.admit(NORTH, tokens, now) for _ in range(requests)
     ]
     return sum(result.cost for result in results if isinstance(result, Admitted))
 
@@ -553,7 +553,7 @@
     """The fleet with an organisation whose quota has been whole for long."""
     for host in world.hosts:
         now = world.clock.monotonic()
-        host.state.quotas.book.take_organisations((NORTH,), now)
+        host.state.quotas.ledger.take_organisations((NORTH,), now)
     world.pass_time(4.0)
     return world
 
@@ -567,8 +567,8 @@
         use(host, 200)
     world.pass_time(1.5)
     for host in (world.hosts[0], world.hosts[41], world.hosts[43]):
-        host.state.quotas.book.settle_all(world.clock.monotonic())
-        usage = host.state.quotas.book.usage
+        host.state.quotas.ledger.settle_all(world.clock.monotonic())
+        usage = host.state.quotas.ledger.usage
         own = usage.own.get(NORTH.name, Usage()).admitted
         hub = host.fleet.hub()
         assert hub != host.me
@@ -596,7 +596,7 @@
     world.pass_time(6.0)
     for host in islands:
         host.state.count_hosts()
-        shares[host.me.data_centre] = host.state.quotas.book.share
+        shares[host.me.data_centre] = host.state.quotas.ledger.share
     assert sum(shares.values()) == pytest.approx(1.0, abs=0.05)
 
 
@@ -611,7 +611,7 @@
             use(host, 4, tokens=4)
         world.pass_time(STEP_S)
         for host in world.hosts:
-            book, now = host.state.quotas.book, world.clock.monotonic()
+            book, now = host.state.quotas.ledger, world.clock.monotonic()
             account = book.accounts[NORTH.name]
             most = max(most, book.asked_per_s(NORTH.name, account, now))
     assert most <= 3 * 25 * 4 * 4 / STEP_S
@@ -625,7 +625,7 @@
     for host in world.hosts:
         host.state.count_hosts()
         assert host.fleet.live_hosts < 50
-        assert host.state.size.hosts() >= 50
+        assert host.state.size.estimated_hosts() >= 50
 
 
 def test_hosts_divide_repeats_by_all_while_a_hub_is_lost(world: World) -> None:
@@ -636,7 +636,7 @@
         world.pass_time(0.2)
         for host in world.hosts:
             host.state.count_hosts()
-            assert host.state.size.hosts() >= 50
+            assert host.state.size.estimated_hosts() >= 50
 
 
 def test_host_that_has_just_started_takes_a_small_part_of_the_repeats(
@@ -644,7 +644,7 @@
 ) -> None:
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     host = Host(7, clock, seeds)
-    assert host.state.size.hosts() == ASSUMED_HOSTS
+    assert host.state.size.estimated_hosts() == ASSUMED_HOSTS
     clock.turn(60)
     host.state.count_hosts()
-    assert host.state.size.hosts() == len(seeds) + 1
+    assert host.state.size.estimated_hosts() == len(seeds) + 1
--- a/packages/daemon/tests/test_rollout_task.py
+++ b/packages/daemon/tests/test_rollout_task.py
@@ -15,7 +15,7 @@
 from sardinequay_daemon.journal import Journal
 from sardinequay_daemon.metrics import Metrics
 from sardinequay_daemon.peers import PeerClient
-from sardinequay_daemon.platform import Value
+from sardinequay_daemon.platform import PublishedValue
 from sardinequay_daemon.rollout_task import RolloutTask
 from sardinequay_daemon.shared_settings import TimingSettings
 
@@ -43,11 +43,11 @@
 
     async def watch_root(
         self, after: int, wait_s: float
-    ) -> Result[Value, PlatformError]:
+    ) -> Result[PublishedValue, PlatformError]:
         if self.revision <= after:
             await asyncio.sleep(0.01)
         is_later = self.revision > after
-        return Success(Value(self.revision, self.data if is_later else None))
+        return Success(PublishedValue(self.revision, self.data if is_later else None))
 
     async def blob(self, digest: Digest) -> Result[bytes, PlatformError]:
         if digest in self.blobs:
@@ -112,8 +112,8 @@
     watch = asyncio.create_task(task.watch())
     await in_force(task, 2)
     old, _ = published(1)
-    await task.consider(old, None)
-    await task.consider(old, None)
+    await task.apply_root(old, None)
+    await task.apply_root(old, None)
     watch.cancel()
     assert task.rollout.version() == 2
     assert [r.message for r in caplog.records].count("bundle refused") == 1
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -83,7 +83,7 @@
 @pytest.fixture
 def task(scripted, clock: TurnedClock, peers, monkeypatch) -> StoreTask:
     monkeypatch.setattr("sardinequay_daemon.store_task.BATCH_PAUSE_S", 0)
-    monkeypatch.setattr("sardinequay_daemon.store_task.RETRY_S", (0,))
+    monkeypatch.setattr("sardinequay_daemon.store_task.RETRY_DELAYS_S", (0,))
     return StoreTask(
         scripted,
         clock,
@@ -122,7 +122,7 @@
     )
     listing = asyncio.create_task(task.read_once())
     await asyncio.sleep(0.01)
-    task.take_from_peer(ItemsReply((item(4, 8),), 8, is_whole=True))
+    task.apply_peer_items(ItemsReply((item(4, 8),), 8, is_whole=True))
     async with asyncio.timeout(1):
         await listing
     assert task.catalogue.config.version == 4
@@ -144,7 +144,7 @@
     following = asyncio.create_task(task.run())
     await asyncio.sleep(0.01)
     assert scripted.listings == 0
-    task.take_from_peer(ItemsReply((item(4, 8),), 8, is_whole=True))
+    task.apply_peer_items(ItemsReply((item(4, 8),), 8, is_whole=True))
     await asyncio.sleep(0.01)
     assert scripted.listings == 0
     assert task.catalogue.config.version == 4
@@ -216,10 +216,10 @@
     await task.read_once()
     clock.turn(1)
     await task.read_once()
-    assert task.absence().keep_until is None
+    assert task.absence_rule().keep_until is None
     clock.turn(0.5)
     await task.read_once()
-    assert task.absence().keep_until is None
+    assert task.absence_rule().keep_until is None
 
 
 async def test_vanished_entries_are_kept_around_a_long_outage(
@@ -229,12 +229,12 @@
     await task.read_once()
     clock.turn(4)
     await task.read_once()
-    assert task.absence().keep_until == clock.monotonic() + seconds(2)
+    assert task.absence_rule().keep_until == clock.monotonic() + seconds(2)
     await task.read_once()
     clock.turn(1.9)
-    assert task.absence().keep_until is not None
+    assert task.absence_rule().keep_until is not None
     clock.turn(0.2)
-    assert task.absence().keep_until is None
+    assert task.absence_rule().keep_until is None
 
 
 async def test_host_that_alone_is_turned_away_drops_what_peers_drop(
@@ -245,7 +245,7 @@
     clock.turn(8)
     peers["age_s"] = 0.4
     await task.read_once()
-    assert task.absence().keep_until is None
+    assert task.absence_rule().keep_until is None
 
 
 async def test_peer_gives_only_what_changed(task: StoreTask, scripted) -> None:
@@ -255,10 +255,10 @@
     ]
     await task.read_once()
     await task.read_once()
-    reply = await task.answer_fetch(FetchItems(6))
+    reply = await task.handle_fetch(FetchItems(6))
     assert [i.key for i in reply.items] == ["a"]
     assert not reply.is_whole
-    whole = await task.answer_fetch(FetchItems(0))
+    whole = await task.handle_fetch(FetchItems(0))
     assert whole.is_whole
     assert [i.key for i in whole.items] == ["config"]
 
@@ -274,7 +274,7 @@
         other, task.clock, Random(1), seconds(2), lambda: True, lambda: 9.0
     )
     await peer.read_once()
-    task.take_from_peer(await peer.answer_fetch(FetchItems(0)))
+    task.apply_peer_items(await peer.handle_fetch(FetchItems(0)))
     assert task.catalogue.config.version == 4
     assert task.catalogue.revision == 9
 
@@ -303,13 +303,13 @@
     told = []
     for _ in range(11):
         await task.read_once()
-        told.append(task.standing().news_revision)
-        assert task.standing().revision == task.catalogue.revision
+        told.append(task.status().news_revision)
+        assert task.status().revision == task.catalogue.revision
         clock.turn(0.3)
     assert told[0] == 5
     assert len(set(told)) == 2
     assert task.catalogue.revision == 15
-    reply = await task.answer_fetch(FetchItems(5))
+    reply = await task.handle_fetch(FetchItems(5))
     assert reply.revision == 15
 
 
@@ -324,7 +324,7 @@
     clock.turn(10)
     for _ in range(3):
         await task.read_once()
-    assert task.standing().news_revision == 7
+    assert task.status().news_revision == 7
 
 
 async def test_a_later_revision_of_which_a_peer_tells_is_passed_on(
@@ -332,7 +332,7 @@
 ) -> None:
     scripted.answers = [read(entry(1, 5), revision=5)]
     await task.read_once()
-    task.hear_revision(9)
-    assert task.standing().revision == 9
-    assert task.standing().news_revision == 5
+    task.record_peer_revision(9)
+    assert task.status().revision == 9
+    assert task.status().news_revision == 5
     assert task.catalogue.revision == 5
--- a/packages/daemon/tests/test_tracing.py
+++ b/packages/daemon/tests/test_tracing.py
@@ -19,10 +19,10 @@
     tracing = Tracing(TraceSettings(file=str(file)), "h1")
     hop = tracing.server_span("request", CALLER)
     further = tracing.child_span("attempt", hop)
-    sent = tracing.headers(further)
+    sent = tracing.propagation_headers(further)
     further.end()
     hop.end()
-    tracing.shut_down()
+    tracing.shutdown()
     spans = [json.loads(line) for line in file.read_text().splitlines()]
     assert {s["name"] for s in spans} == {"request", "attempt"}
     assert {s["context"]["trace_id"] for s in spans} == {f"0x{TRACE}"}
@@ -33,9 +33,9 @@
     tracing = Tracing(TraceSettings(), "h1")
     hop = tracing.server_span("request", CALLER)
     assert trace_id(hop) == TRACE
-    assert tracing.headers(tracing.child_span("attempt", hop)) == CALLER
+    assert tracing.propagation_headers(tracing.child_span("attempt", hop)) == CALLER
     assert tracing.server_span("request", {}) is INVALID_SPAN
-    tracing.shut_down()
+    tracing.shutdown()
 
 
 def test_without_a_destination_the_sdk_is_not_loaded() -> None:
