--- a/packages/daemon/src/sardinequay_daemon/decision_log.py
+++ b/packages/daemon/src/sardinequay_daemon/bounded_log.py
@@ -96,7 +96,7 @@
             self.pending_lines.popleft()
 
 
-def configure_output(clock: Clock, host_id: str, level: str = "INFO") -> NonBlockingLogHandler:
+def configure_bounded_logging(clock: Clock, host_id: str, level: str = "INFO") -> NonBlockingLogHandler:
     """Send all logs to standard output as JSON, each line naming this host."""
     handler = NonBlockingLogHandler(clock, sys.stdout.fileno())
     handler.setFormatter(
--- a/packages/daemon/src/sardinequay_daemon/fleet_task.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_task.py
@@ -99,7 +99,7 @@
         self.is_update_for_far = False
         self.failed_exchanges: dict[HostId, int] = {}
         self.hub_hints: dict[str, Contact] = {}
-        self.probe_numbers = itertools.count()
+        self.probe_counter = itertools.count()
         self.last_hub = HostId("")
 
     # Telling.
@@ -192,7 +192,7 @@
         there = sorted(
             h for h, p in self.peers.items() if p.contact.data_centre == data_centre
         )
-        chosen = self.peers[there[next(self.probe_numbers) % len(there)]]
+        chosen = self.peers[there[next(self.probe_counter) % len(there)]]
         self.exchange_with_host(chosen.contact)
 
     async def wait_until_due(self, due: Instant, flush: Instant) -> None:
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -76,8 +76,8 @@
         self.on_peer_in_force = on_peer_in_force
         self.roster = EMPTY_ROSTER
         self.live_members: BehaviorSubject[LiveMembers] = BehaviorSubject((me,))
-        self.rounds = 0
-        self.sending: set[asyncio.Task[None]] = set()
+        self.round_count = 0
+        self.pending_sends: set[asyncio.Task[None]] = set()
 
     def apply_roster(self, roster: Roster) -> None:
         """Take hosts of this data centre that were never heard of."""
@@ -97,13 +97,13 @@
 
     async def run_round(self) -> None:
         """Ping one member of the data centre, and now and then a host elsewhere."""
-        self.rounds += 1
+        self.round_count += 1
         self.membership.tick(self.clock.monotonic())
         member = self.membership.next_ping()
         if member is not None:
             await self.ping(member)
         remote = self.remote_hosts()
-        if remote and self.rounds % REMOTE_PING_ROUNDS == 0:
+        if remote and self.round_count % REMOTE_PING_ROUNDS == 0:
             await self.ping_remote_host(self.random.choice(remote).peer_address)
         self.publish_live_members()
 
@@ -187,8 +187,8 @@
         offer = Offer(self.in_force(), str(self.membership.me.address))
         for address in targets:
             task = asyncio.create_task(self.send_offer(address, offer))
-            self.sending.add(task)
-            task.add_done_callback(self.sending.discard)
+            self.pending_sends.add(task)
+            task.add_done_callback(self.pending_sends.discard)
 
     async def send_offer(self, address: Address, offer: Offer) -> None:
         """Send one offer; a host that misses it hears of it by heartbeat."""
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -21,7 +21,7 @@
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, PermitBack
-from .decision_log import NonBlockingLogHandler
+from .bounded_log import NonBlockingLogHandler
 from .digest_writer import DigestWriter
 from .end_watch import EndWatch
 from .errors import StartError
--- a/packages/daemon/src/sardinequay_daemon/serving_metrics.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_metrics.py
@@ -10,7 +10,7 @@
 MAX_ORGANISATIONS = 50
 """Organisations with a label of their own; further ones share one."""
 
-OTHERS = "others"
+OTHER_ORGANISATIONS = "others"
 
 
 class ServingMetrics(HostMetrics):
@@ -52,6 +52,6 @@
         if name not in self.organisations and len(self.organisations) >= (
             MAX_ORGANISATIONS
         ):
-            return OTHERS
+            return OTHER_ORGANISATIONS
         self.organisations.add(name)
         return name
--- a/packages/daemon/src/sardinequay_daemon/store_task.py
+++ b/packages/daemon/src/sardinequay_daemon/store_task.py
@@ -312,14 +312,14 @@
         before = self.catalogue
         if catalogue == before:
             return
-        self.log_differences(before, catalogue)
+        self.log_changes(before, catalogue)
         is_due = self.clock.monotonic() - self.announced_at >= RENEWAL_ANNOUNCEMENT_PERIOD
         if is_due or not says_the_same(before, catalogue):
             self.announced_revision = catalogue.revision
             self.announced_at = self.clock.monotonic()
         self.catalogues.on_next(catalogue)
 
-    def log_differences(self, before: Catalogue, after: Catalogue) -> None:
+    def log_changes(self, before: Catalogue, after: Catalogue) -> None:
         """Log what this host now believes otherwise."""
         old = before.config.version if before.config else 0
         new = after.config.version if after.config else 0
--- a/packages/daemon/tests/test_decision_log.py
+++ b/packages/daemon/tests/test_bounded_log.py
@@ -8,7 +8,7 @@
 import pytest
 from pythonjsonlogger.json import JsonFormatter
 
-from sardinequay_daemon.decision_log import (
+from sardinequay_daemon.bounded_log import (
     FIELDS,
     MAX_BURST_LINES,
     MAX_PENDING_BYTES,
