--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -21,7 +21,7 @@
 from .caller_requests import RequestEnvelope
 from .journal import Journal
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .progress import Progress, RequestRefusedError
 from .tracing import Tracing
 
@@ -43,7 +43,7 @@
         self,
         data_centres: Sequence[DataCentre],
         policy: ClaimPolicy,
-        peers: PeerCaller,
+        peers: PeerClient,
         clock: Clock,
         metrics: Metrics,
         journal: Journal,
@@ -94,7 +94,7 @@
             )
         if not isinstance(won, Success):
             raise RequestRefusedError(won.failure())
-        self.journal.note(envelope.request_id, "claimed", key=envelope.key)
+        self.journal.record(envelope.request_id, "claimed", key=envelope.key)
         claim: WonClaim = won.unwrap()
         return claim
 
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -32,7 +32,7 @@
 from .content_updates import content_update, apply_content_update
 from .target_end_detector import InterruptedRequest, TargetEndDetector
 from .guarded_run import GuardedRun
-from .peers import PeerCaller
+from .peers import PeerClient
 from .progress import RequestRefusedError, answer_lost_refusal
 
 PERMIT_CALL_TIMEOUT_S = 0.25
@@ -99,7 +99,7 @@
         quarantine: Quarantine,
         end_detector: TargetEndDetector,
         fleet: GuardPeers,
-        peers: PeerCaller,
+        peers: PeerClient,
         clock: Clock,
     ) -> None:
         self.me = me
--- a/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
@@ -9,7 +9,7 @@
 from sardinequay_core.usage_view import ReportedUsage
 
 from .fleet_size import FleetSize
-from .fleet_task import HeardDigest
+from .fleet_task import ReceivedDigest
 
 
 class FleetQuotas:
@@ -22,40 +22,40 @@
     """
 
     def __init__(
-        self, size: FleetSize, clock: Clock, draw: Callable[[], float]
+        self, fleet_size: FleetSize, clock: Clock, draw: Callable[[], float]
     ) -> None:
-        self.size = size
+        self.fleet_size = fleet_size
         self.clock = clock
-        self.book = QuotaLedger(draw)
+        self.ledger = QuotaLedger(draw)
 
-    def take_policy(self, policy: QuotaPolicy) -> None:
+    def apply_policy(self, policy: QuotaPolicy) -> None:
         """Take other bounds on what quotas may be exceeded by."""
-        self.book.policy = policy
+        self.ledger.policy = policy
 
-    def take_catalogue(self, before: Catalogue, now: Catalogue) -> None:
+    def apply_catalogue(self, before: Catalogue, now: Catalogue) -> None:
         """Take the quotas of a new version of the configuration."""
         if now.config is not None and now.config is not before.config:
             organisations = now.config.organisations or ()
-            self.book.apply_organisations(organisations, self.clock.monotonic())
+            self.ledger.apply_organisations(organisations, self.clock.monotonic())
 
-    def take_part(self, heard: HeardDigest) -> None:
+    def record_partial_usage(self, heard: ReceivedDigest) -> None:
         """Take what one host used, or the hosts of one data centre."""
-        self.book.apply_report(heard.digest.host.host_id, told_of(heard), heard.at)
+        self.ledger.apply_report(heard.digest.host.host_id, reported_usage(heard), heard.received_at)
 
-    def take_sum(self, heard: HeardDigest) -> None:
+    def record_total_usage(self, heard: ReceivedDigest) -> None:
         """Take from a hub what all other hosts used."""
-        self.book.apply_fleet_report(heard.digest.host.host_id, told_of(heard), heard.at)
+        self.ledger.apply_fleet_report(heard.digest.host.host_id, reported_usage(heard), heard.received_at)
 
-    def forget(self, host_id: HostId) -> None:
+    def remove_peer(self, host_id: HostId) -> None:
         """Take that a peer is gone."""
-        self.book.forget_peer(host_id, self.clock.monotonic())
+        self.ledger.forget_peer(host_id, self.clock.monotonic())
 
-    def take_size(self) -> None:
+    def update_fleet_share(self) -> None:
         """Take how many hosts live, for the part of quotas that is theirs."""
-        self.book.apply_share(self.size.part(), self.clock.monotonic())
+        self.ledger.apply_share(self.fleet_size.live_fraction(), self.clock.monotonic())
 
 
-def told_of(heard: HeardDigest) -> ReportedUsage:
+def reported_usage(heard: ReceivedDigest) -> ReportedUsage:
     """Return what a digest tells of organisations' usage."""
     digest = heard.digest
     return ReportedUsage(digest.scope, digest.usage, seconds(digest.up_s), heard.has_restarted)
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -24,8 +24,8 @@
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
 from sardinequay_core.views import GuardAddress, View, build_view
 
-from .mailbox import Envelope, Mailbox, every
-from .peers import PeerCaller
+from .mailbox import QueuedMessage, Mailbox, run_periodically
+from .peers import PeerClient
 from .settings import ClaimSettings
 
 JOIN_INTERVAL_S = 0.1
@@ -60,7 +60,7 @@
         me: HostId,
         incarnation: int,
         settings: ClaimSettings,
-        peers: PeerCaller,
+        peers: PeerClient,
         clock: Clock,
     ) -> None:
         self.me = me
@@ -91,25 +91,25 @@
     async def run(self) -> None:
         """Answer and join for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.inbox.serve(self.handle_message))
-            group.create_task(every(JOIN_INTERVAL_S, self.join_step))
-            group.create_task(every(EXPIRE_INTERVAL_S, self.expire_claims))
+            group.create_task(self.inbox.handle_messages(self.handle_message))
+            group.create_task(run_periodically(JOIN_INTERVAL_S, self.join_step))
+            group.create_task(run_periodically(EXPIRE_INTERVAL_S, self.expire_claims))
 
-    def handle_message(self, envelope: Envelope) -> None:
+    def handle_message(self, envelope: QueuedMessage) -> None:
         """Answer one message from the state as it is now."""
         message, now = envelope.message, self.clock.monotonic()
         if isinstance(message, ClaimRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.answer(duty.handle_claim(message, now))
+            envelope.reply_with(duty.handle_claim(message, now))
         elif isinstance(message, Settle):
             self.duties[message.data_centre].handle_settle(message)
-            envelope.answer(Settled())
+            envelope.reply_with(Settled())
         elif isinstance(message, HandoverRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.answer(duty.handle_handover_request(message, now))
+            envelope.reply_with(duty.handle_handover_request(message, now))
         elif isinstance(message, ViewQuery):
             guard = self.duties[message.data_centre].guard
-            envelope.answer(ViewReply(guard.active_view))
+            envelope.reply_with(ViewReply(guard.active_view))
 
     def apply_host_list(self, roster: Roster) -> None:
         """Take the list that was read from the platform just now."""
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -35,7 +35,7 @@
 from .journal import Journal
 from .keeper_task import KeeperTask
 from .use_lease_task import UseLeaseTask
-from .mailbox import every
+from .mailbox import run_periodically
 from .membership_task import MembershipTask, PeerInForce
 from .messages import (
     Acquire,
@@ -52,7 +52,7 @@
 )
 from .metrics import Metrics
 from .operators import HostStatus, OperatorServer
-from .peers import PeerCaller, PeerServer
+from .peers import PeerClient, PeerServer
 from .platform import HttpConfigurationService, HttpHostList, HttpReader
 from .rollout_task import PeerOffer, RolloutTask
 from .roster_task import RosterTask
@@ -98,7 +98,7 @@
         self.incarnation = int(clock.now().timestamp() * 1000)
         self.is_stopping = False
         self.peer_server = PeerServer(self.metrics)
-        self.peers = PeerCaller(
+        self.peers = PeerClient(
             settings.timing,
             self.metrics,
             self.listener.ip,
@@ -292,14 +292,14 @@
     def subscribe_tasks(self) -> None:
         """Say which task hears of which change."""
         rosters = self.roster.rosters
-        rosters.subscribe(self.membership.take_roster)
+        rosters.subscribe(self.membership.apply_roster)
         rosters.subscribe(self.claimer.apply_roster)
         rosters.subscribe(self.leases.apply_roster)
         rosters.subscribe(self.forwarder.apply_roster)
         rosters.subscribe(self.forward_roster_to_guard)
         self.roster.direct_reads.subscribe(self.guard.apply_host_list)
-        self.membership.live.subscribe(self.leases.apply_members)
-        self.keeper.subscribe(self.rollout.bundles, rosters, self.membership.live)
+        self.membership.live_members.subscribe(self.leases.apply_members)
+        self.keeper.subscribe(self.rollout.bundles, rosters, self.membership.live_members)
         self.rollout.bundles.subscribe(self.announce_bundle)
 
     def forward_roster_to_guard(self, roster: Roster) -> None:
@@ -310,24 +310,24 @@
     def announce_bundle(self, bundle: Bundle | None) -> None:
         """Tell peers at once of a bundle that came into force."""
         if bundle is not None:
-            self.membership.spread()
+            self.membership.announce_in_force()
 
     def register_handlers(self) -> None:
         """Say who answers which message of a peer."""
         server = self.peer_server
-        server.register(Ping, self.membership.answer_ping)
-        server.register(Offer, self.membership.answer_offer)
-        server.register(FetchRoot, self.rollout.answer_root)
-        server.register(FetchBlobs, self.rollout.answer_blobs)
-        server.register(FetchRoster, self.roster.answer_fetch)
+        server.register(Ping, self.membership.handle_ping)
+        server.register(Offer, self.membership.handle_offer)
+        server.register(FetchRoot, self.rollout.handle_fetch_root)
+        server.register(FetchBlobs, self.rollout.handle_fetch_blobs)
+        server.register(FetchRoster, self.roster.handle_fetch)
         server.register(Recall, self.leases.handle_recall)
         server.register(ContentsTold, self.spread.handle_contents_told)
         server.register(AskPermit, self.content_guard.handle_ask_permit)
         server.register(PermitBack, self.content_guard.handle_permit_back)
         for guard_message in GUARD_MESSAGES:
-            server.register(guard_message, self.guard.inbox.ask)
+            server.register(guard_message, self.guard.inbox.request)
         for keeper_message in KEEPER_MESSAGES:
-            server.register(keeper_message, self.keeper.inbox.ask)
+            server.register(keeper_message, self.keeper.inbox.request)
 
     # What is in force.
 
@@ -340,13 +340,13 @@
         in_force = event.in_force
         offered = OfferedBundle(in_force.bundle_version, in_force.bundle_digest)
         if self.rollout.rollout.should_fetch(offered):
-            self.rollout.inbox.tell(PeerOffer(offered, event.address))
+            self.rollout.inbox.post(PeerOffer(offered, event.address))
         if in_force.roster_number > self.roster.roster.number:
-            self.roster.inbox.tell((in_force.roster_number, event.address))
+            self.roster.inbox.post((in_force.roster_number, event.address))
 
     def current_bundle(self) -> Bundle | None:
         """Return the bundle in force."""
-        in_place = self.rollout.in_place
+        in_place = self.rollout.installed
         return in_place.bundle if in_place else None
 
     def is_ready(self) -> bool:
@@ -356,7 +356,7 @@
 
     def status(self) -> HostStatus:
         """Return what is in force on this host."""
-        in_place = self.rollout.in_place
+        in_place = self.rollout.installed
         return HostStatus(
             host=self.settings.host_id,
             data_centre=self.settings.data_centre,
@@ -369,7 +369,7 @@
             bundles_refused=sorted(f"{r} {d}" for r, d in self.rollout.rollout.refused),
             roster_number=self.roster.roster.number,
             in_flight=self.callers.admission.in_flight,
-            members=self.membership.health_of(),
+            members=self.membership.health_by_member(),
             guard_views=self.guard.active_views(),
             resident=self.keeper.residency_snapshot(),
             quarantined=self.content_guard.held_contents(),
@@ -384,7 +384,7 @@
         self.metrics.in_flight.set({}, self.callers.admission.in_flight)
         held = self.content_guard.quarantine.held_contents(self.clock.monotonic())
         self.metrics.quarantined.set({}, len(held))
-        in_place = self.rollout.in_place
+        in_place = self.rollout.installed
         if in_place is not None:
             age = (self.clock.now() - in_place.since).total_seconds()
             self.metrics.bundle_age.set({}, age)
@@ -399,13 +399,13 @@
             async with asyncio.TaskGroup() as group:
                 background_tasks = [
                     group.create_task(self.roster.run()),
-                    group.create_task(self.rollout.run(self.membership.first_peers)),
+                    group.create_task(self.rollout.run(self.membership.join_peers)),
                     group.create_task(self.membership.run()),
                     group.create_task(self.guard.run()),
                     group.create_task(self.keeper.run()),
                     group.create_task(self.leases.run()),
                     group.create_task(self.spread.run()),
-                    group.create_task(every(EXPIRE_INTERVAL_S, self.expire_contents)),
+                    group.create_task(run_periodically(EXPIRE_INTERVAL_S, self.expire_contents)),
                 ]
                 await stop.wait()
                 await self.drain()
@@ -446,7 +446,7 @@
         timing = self.settings.timing
         log.info("stopping", extra={"in_flight": self.callers.admission.in_flight})
         self.is_stopping = True
-        await self.membership.leave()
+        await self.membership.announce_leaving()
         # The balancer needs a moment to see that this host is not ready.
         await asyncio.sleep(timing.leave_notice_s)
         self.callers.is_stopping = True
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -48,7 +48,7 @@
     ReportArrived,
     UnloadEnded,
 )
-from .mailbox import Envelope, Mailbox, every
+from .mailbox import QueuedMessage, Mailbox, run_periodically
 from .messages import (
     Acquire,
     EngineLoad,
@@ -64,7 +64,7 @@
     Wanted,
 )
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .settings import LimitSettings
 from .shared_settings import TimingSettings
 
@@ -78,7 +78,7 @@
     """One keepership of this host, and who waits in it."""
 
     keeper: Keeper
-    tickets: dict[int, Envelope]
+    tickets: dict[int, QueuedMessage]
     holder_addresses: dict[HolderId, Address]
 
 
@@ -95,7 +95,7 @@
         me: HostId,
         data_centre: DataCentre,
         engines: EngineClient,
-        peers: PeerCaller,
+        peers: PeerClient,
         timing: TimingSettings,
         limits: LimitSettings,
         clock: Clock,
@@ -129,16 +129,16 @@
         def post_assignment(latest: tuple[Bundle | None, Roster, tuple[Member, ...]]) -> None:
             bundle, roster, members = latest
             if bundle is not None:
-                self.inbox.tell(AssignmentChanged(bundle, roster, members))
+                self.inbox.post(AssignmentChanged(bundle, roster, members))
 
         reactivex.combine_latest(bundles, rosters, live).subscribe(post_assignment)
 
     async def run(self) -> None:
         """Serve messages, read reports and tick for good."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.inbox.serve(self.handle_message))
-            group.create_task(every(self.timing.report_s, self.request_reports))
-            group.create_task(every(TICK_S, self.tick))
+            group.create_task(self.inbox.handle_messages(self.handle_message))
+            group.create_task(run_periodically(self.timing.report_s, self.request_reports))
+            group.create_task(run_periodically(TICK_S, self.tick))
 
     def start_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run work beside the task; its result comes back as an event."""
@@ -198,12 +198,12 @@
         """Give up a keepership; those who wait find the new keeper."""
         state = self.keeperships.pop(pool)
         for envelope in state.tickets.values():
-            envelope.answer(NotKeeper())
+            envelope.reply_with(NotKeeper())
         log.info("keepership dropped", extra={"pool": pool})
 
     # Messages and events.
 
-    def handle_message(self, envelope: Envelope) -> None:
+    def handle_message(self, envelope: QueuedMessage) -> None:
         """Take one message."""
         message = envelope.message
         if isinstance(message, AssignmentChanged):
@@ -213,23 +213,23 @@
         elif message.pool in self.keeperships:
             self.handle_event(self.keeperships[message.pool], message)
 
-    def handle_holder_request(self, envelope: Envelope) -> None:
+    def handle_holder_request(self, envelope: QueuedMessage) -> None:
         """Answer a holder, if this host keeps what it means."""
         message = envelope.message
         state = self.keeperships.get(message.keepership.pool)
         if state is None or message.keepership.data_centre != self.data_centre:
-            envelope.answer(NotKeeper())
+            envelope.reply_with(NotKeeper())
             return
         now = self.clock.monotonic()
         if isinstance(message, Want):
             self.queue_load_request(state, envelope, message, now)
         elif isinstance(message, GiveBack):
             state.keeper.handle_lease_return(message.holder, message.use, message.sequence)
-            envelope.answer(Taken())
+            envelope.reply_with(Taken())
         else:
             state.holder_addresses[message.holder] = parse_address(message.address).unwrap()
             granted = self.grant_leases(state.keeper, message, now)
-            envelope.answer(self.granted_reply(state.keeper, granted))
+            envelope.reply_with(self.granted_reply(state.keeper, granted))
 
     def grant_leases(
         self, keeper: Keeper, message: Acquire | Renew, now: Instant
@@ -249,14 +249,14 @@
         grants = tuple(GrantedUse(use, lasts.total_seconds()) for use, lasts in uses)
         return Granted(grants, tuple(loads))
 
-    def queue_load_request(self, state: KeepershipState, envelope: Envelope, message: Want, now: Instant) -> None:
+    def queue_load_request(self, state: KeepershipState, envelope: QueuedMessage, message: Want, now: Instant) -> None:
         """Queue a request for a cold adapter, or give it up at once."""
         ticket = next(self.ticket_ids)
         deadline = now + timedelta(seconds=message.wait_s)
         given_up = state.keeper.handle_load_request(ticket, message.adapter, deadline, now)
         if given_up is not None:
             wait_s = given_up.retry_after.total_seconds()
-            envelope.answer(Wanted(False, wait_s))
+            envelope.reply_with(Wanted(False, wait_s))
             return
         state.tickets[ticket] = envelope
         if envelope.reply is not None:
@@ -289,7 +289,7 @@
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
         self.metrics.loads.inc({"result": result})
-        self.journal.note(
+        self.journal.record(
             order_id("load", event.order.token),
             result,
             adapter=str(use.adapter),
@@ -310,7 +310,7 @@
         for ticket in tickets:
             envelope = state.tickets.pop(ticket, None)
             if envelope is not None:
-                envelope.answer(Wanted(True))
+                envelope.reply_with(Wanted(True))
 
     def handle_unload_ended(self, state: KeepershipState, event: UnloadEnded, now: Instant) -> None:
         """Take the end of an eviction."""
@@ -318,7 +318,7 @@
         result = event.error.fault.value if event.error else "done"
         self.metrics.evictions.inc({"result": result})
         subject = order_id("evict", event.order.token)
-        self.journal.note(subject, result, adapter=str(use.adapter), engine=use.target)
+        self.journal.record(subject, result, adapter=str(use.adapter), engine=use.target)
         if event.error is None:
             state.keeper.handle_unload_done(use, now)
         elif event.error.fault is TargetFault.STALE_TOKEN:
@@ -344,7 +344,7 @@
             envelope = state.tickets.pop(command.ticket, None)
             if envelope is not None:
                 wait_s = command.retry_after.total_seconds()
-                envelope.answer(Wanted(False, wait_s))
+                envelope.reply_with(Wanted(False, wait_s))
             return
         target = state.keeper.engines[command.use.target].target
         if isinstance(command, LoadCommand):
@@ -361,7 +361,7 @@
         adapter, now = order.use.adapter, self.clock.monotonic()
         queue = state.keeper.queue
         waiting = queue.waiting.get(adapter)
-        self.journal.note(
+        self.journal.record(
             order_id("load", order.token),
             "ordered",
             adapter=str(adapter),
@@ -375,7 +375,7 @@
     def record_unload_order(self, state: KeepershipState, order: UnloadCommand) -> None:
         """Note why an eviction was ordered."""
         queue, now = state.keeper.queue, self.clock.monotonic()
-        self.journal.note(
+        self.journal.record(
             order_id("evict", order.token),
             "ordered",
             adapter=str(order.use.adapter),
@@ -389,12 +389,12 @@
         started_at = self.clock.monotonic()
         result = await self.engines.load(target, order.use, order.token)
         duration = self.clock.monotonic() - started_at
-        self.inbox.tell(LoadEnded(pool, order, duration, order_error(result)))
+        self.inbox.post(LoadEnded(pool, order, duration, order_error(result)))
 
     async def send_unload(self, pool: PoolName, target: Target, order: UnloadCommand) -> None:
         """Order an eviction and wait for its end."""
         result = await self.engines.unload(target, order.use, order.token)
-        self.inbox.tell(UnloadEnded(pool, order, order_error(result)))
+        self.inbox.post(UnloadEnded(pool, order, order_error(result)))
 
     async def send_recall(self, state: KeepershipState, pool: PoolName, order: RecallCommand) -> None:
         """Ask a holder to stop; a silent one's lease runs out."""
@@ -403,7 +403,7 @@
             return
         answer = (await self.peers.call(address, Recall(order.use))).value_or(None)
         if isinstance(answer, Recalled):
-            self.inbox.tell(RecallEnded(pool, order, answer))
+            self.inbox.post(RecallEnded(pool, order, answer))
 
     async def request_reports(self) -> None:
         """Ask every kept engine for its report."""
@@ -425,7 +425,7 @@
                     self.metrics.batch_fill.set(
                         {"engine": str(target.target_id)}, report.running
                     )
-                    self.inbox.tell(ReportArrived(pool, report, asked_at))
+                    self.inbox.post(ReportArrived(pool, report, asked_at))
 
     def residency_snapshot(self) -> dict[str, dict[TargetId, list[str]]]:
         """Return what is resident where, for operators."""
--- a/packages/daemon/src/sardinequay_daemon/load_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -6,7 +6,7 @@
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.names import AdapterRef, TargetId
 
-from .peers import PeerCaller
+from .peers import PeerClient
 from .relay_state import RelayState
 from .serving_messages import (
     AdapterMissing,
@@ -25,7 +25,7 @@
     """Asks for adapters."""
 
     state: RelayState
-    peers: PeerCaller
+    peers: PeerClient
     report_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def request_load(self, message: WantAdapter) -> WantReply:
@@ -47,7 +47,7 @@
         reply = answer.value_or(None)
         if isinstance(reply, WantReply):
             return reply
-        self.state.fleet.suspect(keeper.host_id)
+        self.state.fleet.mark_lost(keeper.host_id)
         return WantReply(False, f"no answer: {answer}")
 
     def report_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
--- a/packages/daemon/src/sardinequay_daemon/order_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_lease_task.py
@@ -20,7 +20,7 @@
 )
 
 from .fleet_task import FleetTask
-from .peers import PeerCaller
+from .peers import PeerClient
 from .serving_messages import Noted
 
 RENEW_INTERVAL_S = 0.3
@@ -59,7 +59,7 @@
         self,
         me: HostId,
         data_centre: str,
-        peers: PeerCaller,
+        peers: PeerClient,
         fleet: FleetTask,
         clock: Clock,
         random: Random,
@@ -134,7 +134,7 @@
             not self.candidate.is_holder
             and not self.voter.is_leaving
             and since_start < self.policy.restart_grace
-            and self.fleet.was_told_of_all
+            and self.fleet.has_received_all_contacts
             and self.fleet.lease_holder() is None
         )
 
@@ -149,7 +149,7 @@
         if now - previous_step_at > SUSPENDED_AFTER_LEASES * self.policy.lease_duration:
             log.warning("slept", extra={"for_s": (now - previous_step_at).total_seconds()})
             self.has_reclaimed_lease = False
-            self.fleet.rejoin()
+            self.fleet.restart_joining()
 
     def should_campaign(self) -> bool:
         """Return whether to ask for votes now."""
@@ -167,12 +167,12 @@
             return False
         # The host that started last goes first: where hosts are restarted one after
         # the other, it is the one that stays.
-        own_rank = (round(self.fleet.up_s()), self.me)
+        own_rank = (round(self.fleet.uptime_s()), self.me)
         earlier_candidates = sum(
             1
-            for p in self.fleet.alive()
+            for p in self.fleet.live_peers()
             if p.contact.data_centre == self.data_centre
-            and (round(self.fleet.up_of(p)), p.contact.host_id) < own_rank
+            and (round(self.fleet.peer_uptime_s(p)), p.contact.host_id) < own_rank
         )
         return now - self.no_holder_since >= seconds(CAMPAIGN_STAGGER_S * earlier_candidates)
 
@@ -193,7 +193,7 @@
         now = self.clock.monotonic()
         own_vote = self.voter.handle_ballot(ballot, now)
         self.candidate.record_vote(self.me, own_vote, now, now)
-        peers_to_ask = sorted({*voters, *self.fleet.leaving()} - {self.me})
+        peers_to_ask = sorted({*voters, *self.fleet.leaving_hosts()} - {self.me})
         await asyncio.gather(*(self.request_vote(v, ballot) for v in peers_to_ask))
 
     def back_off_after_split_vote(self) -> None:
@@ -227,7 +227,7 @@
     async def handle_resign(self, message: Resign) -> Noted:
         """Take a holder's resignation."""
         self.voter.handle_resign(message, self.clock.monotonic())
-        self.fleet.holds_no_more(message.holder)
+        self.fleet.record_lease_returned(message.holder)
         return Noted()
 
     def record_lease_lost(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -16,9 +16,9 @@
 
 from .content_messages import ContentNews, ContentsReply, ContentsTold
 from .content_updates import content_update
-from .mailbox import every
+from .mailbox import run_periodically
 from .membership_task import MembershipTask
-from .peers import PeerCaller
+from .peers import PeerClient
 
 BATCH_DELAY_S = 0.02
 """All requests that were on a target that ended are told of in one message."""
@@ -33,7 +33,7 @@
     def __init__(
         self,
         membership: MembershipTask,
-        peers: PeerCaller,
+        peers: PeerClient,
         quarantine: Quarantine,
         clock: Clock,
         random: Random,
@@ -52,11 +52,11 @@
 
     def known_to_all(self) -> list[HostId]:
         """Return the live hosts of this data centre."""
-        return [m.host_id for m in self.membership.live.value]
+        return [m.host_id for m in self.membership.live_members.value]
 
     def address_of(self, host_id: HostId) -> Address | None:
         """Return where a live host of this data centre is reached."""
-        live = {m.host_id: m.address for m in self.membership.live.value}
+        live = {m.host_id: m.address for m in self.membership.live_members.value}
         return live.get(host_id)
 
     def announce_content(self, content: ContentId, is_own: bool) -> None:
@@ -71,7 +71,7 @@
         """Tell and ask, for good."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.send_updates())
-            group.create_task(every(PULL_PERIOD_S, self.pull_from_peer))
+            group.create_task(run_periodically(PULL_PERIOD_S, self.pull_from_peer))
 
     async def send_updates(self) -> None:
         """Tell all hosts whenever there is something to tell."""
@@ -89,7 +89,7 @@
     def other_addresses(self) -> list[Address]:
         """Return where all other hosts are reached, of all data centres."""
         me = self.membership.membership.self_member.address
-        local_addresses = {m.address for m in self.membership.live.value}
+        local_addresses = {m.address for m in self.membership.live_members.value}
         remote_addresses = {h.peer_address for h in self.membership.remote_hosts()}
         return sorted((local_addresses | remote_addresses) - {me})
 
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -136,7 +136,7 @@
 
     def repeat_use(self, exchange: RelayExchange, now: Instant) -> RepeatUsage:
         """Return what of this host's share of repeats at a pool is used."""
-        return self.state.repeat_budget(exchange.pool).current_usage(self.state.fleet_size.hosts(), now)
+        return self.state.repeat_budget(exchange.pool).current_usage(self.state.fleet_size.estimated_hosts(), now)
 
     def log_retry_decision(
         self, exchange: RelayExchange, end: AttemptEnd, step: RetryDecision, use: RepeatUsage
@@ -176,7 +176,7 @@
         attempt.begin_accounting()
         try:
             with self.parts.tracing.child_span("target", exchange.span) as span:
-                attempt.trace_headers = self.parts.tracing.headers(span)
+                attempt.trace_headers = self.parts.tracing.propagation_headers(span)
                 end = await attempt.execute(sink)
         except TargetError as error:
             end = attempt.handle_failure(error)
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -27,7 +27,7 @@
 
 from .fleet_quotas import FleetQuotas
 from .fleet_size import FleetSize
-from .fleet_task import FleetTask, HeardDigest
+from .fleet_task import FleetTask, ReceivedDigest
 from .order_task import OrderTask
 from .serving_messages import AdapterUse, Contact, EngineHoldings
 from .serving_ports import RequestTerms
@@ -103,7 +103,7 @@
             previous = before.targets.get(target_id)
             if previous is not None and previous.incarnation < published.incarnation:
                 self.forget_incarnation(target_id)
-        self.quotas.take_catalogue(before, catalogue)
+        self.quotas.apply_catalogue(before, catalogue)
         known = frozenset(catalogue.targets)
         self.health.prune_unlisted(known)
         self.residency.prune_unlisted(known)
@@ -114,26 +114,26 @@
         self.loads.forget_target(target_id)
         self.uses.forget_target(target_id)
 
-    def apply_digest(self, received: HeardDigest) -> None:
+    def apply_digest(self, received: ReceivedDigest) -> None:
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
         digest = received.digest
         self.loads.has_fleet_pace = not self.fleet.is_mesh
-        self.loads.peer_expiry = max(PEER_SHARE_EXPIRY, self.fleet.longest_silence())
+        self.loads.peer_expiry = max(PEER_SHARE_EXPIRY, self.fleet.max_harmless_silence())
         match digest.scope:
             case DigestScope.HOST | DigestScope.DATA_CENTRE if self.receives_host_digests():
                 self.apply_host_digest(received)
             case DigestScope.FLEET if self.fleet.hub() == digest.host:
                 self.apply_fleet_digest(received)
         for holdings in digest.holdings:
-            self.apply_holdings(holdings, received.at)
+            self.apply_holdings(holdings, received.received_at)
 
     def receives_host_digests(self) -> bool:
         """Return whether this host hears others' parts, not their sum from a hub."""
         return self.fleet.is_mesh or self.fleet.is_hub()
 
-    def apply_host_digest(self, received: HeardDigest) -> None:
+    def apply_host_digest(self, received: ReceivedDigest) -> None:
         """Take the part of one host, or of the hosts of one data centre."""
-        digest, now = received.digest, received.at
+        digest, now = received.digest, received.received_at
         host_id = digest.host.host_id
         if self.fleet_view_hub is not None and not self.is_gathering(now):
             # The sum over all hosts, told until now by a hub, counts this one, too.
@@ -144,7 +144,7 @@
         self.loads.apply_peer_shares(host_id, digest.shares, now)
         self.health.tally.apply_peer_outcomes(host_id, digest.outcomes, now)
         self.demand.apply_peer_demand(host_id, digest.demand, now)
-        self.quotas.take_part(received)
+        self.quotas.record_partial_usage(received)
         uses = {(u.target, u.adapter): u.count for u in digest.uses}
         self.uses.replace_peer_counts(host_id, uses)
 
@@ -159,16 +159,16 @@
             self.fleet.hub_period_s()
         )
 
-    def apply_fleet_digest(self, received: HeardDigest) -> None:
+    def apply_fleet_digest(self, received: ReceivedDigest) -> None:
         """Take from this data centre's hub what all other hosts have and saw."""
-        digest, now = received.digest, received.at
+        digest, now = received.digest, received.received_at
         host_id = digest.host.host_id
         self.fleet_view_hub = host_id
         self.fleet_view_at = now
         self.loads.apply_fleet_shares(host_id, digest.shares, now)
         self.health.tally.apply_fleet_outcomes(host_id, digest.outcomes, now)
         self.demand.apply_fleet_demand(host_id, digest.demand, now)
-        self.quotas.take_sum(received)
+        self.quotas.record_total_usage(received)
         for peer in tuple(self.uses.peers):
             self.uses.forget_peer(peer)
 
@@ -207,7 +207,7 @@
         self.health.tally.forget_peer(host_id)
         self.uses.forget_peer(host_id)
         self.demand.forget_peer(host_id)
-        self.quotas.forget(host_id)
+        self.quotas.remove_peer(host_id)
 
     def adapter_uses(self) -> tuple[AdapterUse, ...]:
         """Return this host's uses of adapters, for its peers."""
@@ -227,8 +227,8 @@
 
     def count_hosts(self) -> None:
         """Count the hosts that live, among which bounds on all of them are divided."""
-        self.fleet_size.count()
-        self.quotas.take_size()
+        self.fleet_size.record_live_hosts()
+        self.quotas.update_fleet_share()
 
     def apply_repeat_policy(self, policy: RepeatPolicy) -> None:
         """Take another bound on further attempts; what was counted stays."""
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -21,15 +21,15 @@
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, PermitBack
-from .decision_log import BoundedOutput
+from .bounded_log import NonBlockingLogHandler
 from .digest_writer import DigestWriter
 from .target_end_detector import TargetEndDetector
 from .errors import StartError
-from .fleet_task import FleetTask, HeardDigest
-from .host_pages import pages_app
+from .fleet_task import FleetTask, ReceivedDigest
+from .host_pages import create_status_app
 from .order_lease_task import OrderLeaseTask
 from .order_task import OrderTask
-from .peers import PeerCaller, PeerServer
+from .peers import PeerClient, PeerServer
 from .relay import Relay
 from .relay_server import RelayServer, readiness_app
 from .relay_state import RelayState
@@ -103,7 +103,7 @@
         clock: Clock,
         random: Random,
         tracing: Tracing,
-        output: BoundedOutput,
+        output: NonBlockingLogHandler,
         process_started_at: Instant,
     ) -> None:
         self.profile = deployment.profile
@@ -116,7 +116,7 @@
         self.me = Contact(profile.host_id, profile.data_centre, str(profile.peers))
         self.metrics = ServingMetrics(profile.host_id, profile.data_centre)
         self.peer_server = PeerServer(self.metrics)
-        self.peers = PeerCaller(PEER_TIMING, self.metrics, profile.peers.ip)
+        self.peers = PeerClient(PEER_TIMING, self.metrics, profile.peers.ip)
         order_policy = OrderPolicy(quiet_period=bounds.order_quiet)
         self.fleet = FleetTask(
             self.me,
@@ -144,7 +144,7 @@
             self.fleet,
             repeat_slack_from=ZERO if profile.is_first_start else process_started_at + SLACK_DELAY,
         )
-        self.state.quotas.take_policy(bounds.quotas)
+        self.state.quotas.apply_policy(bounds.quotas)
         self.state.health.trial_turn = trial_turn_of(profile.host_id)
         self.lease = OrderLeaseTask(
             profile.host_id,
@@ -223,17 +223,17 @@
         self.store.catalogues.subscribe(self.guard.apply_catalogue)
         self.fleet.digests.subscribe(self.state.apply_digest)
         self.fleet.digests.subscribe(self.handle_peer_contents)
-        self.fleet.digests.subscribe(self.digest_writer.take_digest)
+        self.fleet.digests.subscribe(self.digest_writer.handle_digest)
         self.fleet.digests.subscribe(self.handle_digest)
-        self.fleet.lost.subscribe(self.state.forget_peer)
-        self.fleet.lost.subscribe(self.digest_writer.tell_anew)
+        self.fleet.lost_peers.subscribe(self.state.forget_peer)
+        self.fleet.lost_peers.subscribe(self.digest_writer.reset_sent_state)
         self.fleet.holds_lease = lambda: self.lease.is_holder
         self.lease.newest_revision = lambda: self.store.newest_revision
         server = self.peer_server
-        server.register(Digest, self.fleet.answer)
+        server.register(Digest, self.fleet.answer_digest)
         server.register(AskPermit, self.guard.handle_ask_permit)
         server.register(PermitBack, self.guard.handle_permit_back)
-        server.register(FetchItems, self.store.answer_fetch)
+        server.register(FetchItems, self.store.handle_fetch)
         server.register(Ballot, self.lease.handle_ballot)
         server.register(Resign, self.lease.handle_resign)
         server.register(WantAdapter, self.orders.load_requests.handle)
@@ -245,7 +245,7 @@
         self.profile = replace(self.profile, seeds=profile.seeds, bounds=profile.bounds)
         self.fleet.set_seeds(profile.seeds)
         self.state.apply_repeat_policy(profile.bounds.repeats)
-        self.state.quotas.take_policy(profile.bounds.quotas)
+        self.state.quotas.apply_policy(profile.bounds.quotas)
         self.lease.apply_policy(OrderPolicy(quiet_period=profile.bounds.order_quiet))
         log.info("settings reloaded", extra={"seeds": [str(s) for s in profile.seeds]})
 
@@ -253,29 +253,29 @@
 
     def make_digest(self, host_id: HostId) -> Digest:
         """Return what to tell a peer now."""
-        return self.digest_writer.digest(host_id)
+        return self.digest_writer.build_digest(host_id)
 
     def announce_holdings(self) -> None:
         """Let this host and its peers know what engines hold now."""
         now = self.clock.monotonic()
         for holdings in self.orders.holdings_snapshot():
             self.state.apply_holdings(holdings, now)
-        self.fleet.tell_soon(far=True)
+        self.fleet.request_update(far=True)
 
     def announce_catalogue(self, _: Catalogue) -> None:
         """Let the hosts that this one reads the store for know that it has changed."""
         if self.fleet.is_reader():
-            self.fleet.tell_soon(far=False)
+            self.fleet.request_update(far=False)
 
-    def handle_peer_contents(self, received: HeardDigest) -> None:
+    def handle_peer_contents(self, received: ReceivedDigest) -> None:
         """Take what a peer knows against contents of requests."""
         self.guard.apply_updates(received.digest.contents)
 
-    def handle_digest(self, received: HeardDigest) -> None:
+    def handle_digest(self, received: ReceivedDigest) -> None:
         """Fetch what a peer knows of the store and this host does not."""
         digest = received.digest
         is_idle = self.fetch_task is None or self.fetch_task.done()
-        self.store.hear_revision(digest.store_revision)
+        self.store.record_peer_revision(digest.store_revision)
         if digest.news_revision > self.store.catalogue.revision and is_idle:
             self.fetch_task = asyncio.create_task(self.fetch_items(digest.host.host_id))
 
@@ -287,7 +287,7 @@
         request = FetchItems(self.store.catalogue.revision)
         reply = (await self.peers.call(address, request)).value_or(None)
         if isinstance(reply, ItemsReply):
-            self.store.take_from_peer(reply)
+            self.store.apply_peer_items(reply)
 
     # Life.
 
@@ -321,15 +321,15 @@
             peer_listener.close()
             await self.close()
             log.info("stopped", extra={"in_flight": self.server.in_flight})
-            self.output.drain()
+            self.output.write_pending()
 
     async def run_housekeeping(self) -> None:
         """Write what waits in the log, and keep memory from growing in cycles."""
         gc.freeze()
         while True:
             await asyncio.sleep(0.5)
-            self.output.drain()
-            self.metrics.log_lines_left_out.set({}, self.output.left_out)
+            self.output.write_pending()
+            self.metrics.log_lines_left_out.set({}, self.output.left_out_lines)
             self.metrics.in_flight.set({}, self.server.in_flight)
             self.guard.expire()
             self.state.count_hosts()
@@ -348,7 +348,7 @@
             )
             await self.serve_http(ready, profile.readiness)
             metrics = web.AppRunner(
-                pages_app(self.metrics.registry, self.status, self.guard.lift_quarantine),
+                create_status_app(self.metrics.registry, self.status, self.guard.lift_quarantine),
                 access_log=None,
             )
             await self.serve_http(metrics, profile.metrics)
@@ -369,7 +369,7 @@
 
     def store_age_s(self) -> float:
         """Return how long ago this host or a peer heard the store, in seconds."""
-        return min(self.store.standing().age_s, self.fleet.freshest_store_age_s())
+        return min(self.store.status().age_s, self.fleet.freshest_store_age_s())
 
     def status(self) -> dict[str, object]:
         """Return what is in force on this host, for operators."""
@@ -388,7 +388,7 @@
             "orders_engines": self.lease.is_holder,
             "in_flight": self.server.in_flight,
             "quarantined": [asdict(held) for held in self.guard.held_contents()],
-            "peers": sorted(p.contact.host_id for p in self.fleet.alive()),
+            "peers": sorted(p.contact.host_id for p in self.fleet.live_peers()),
             "targets": {
                 t: p.target.presence.value for t, p in catalogue.targets.items()
             },
@@ -401,7 +401,7 @@
         log.info("stopping", extra={"in_flight": self.server.in_flight})
         self.is_stopping = True
         self.lease.begin_leaving()
-        self.fleet.leave()
+        self.fleet.announce_leaving()
         await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, grace_s / 2))
         self.server.stops_at = drain_started_at + seconds(grace_s)
         self.server.is_closing = True
--- a/packages/daemon/src/sardinequay_daemon/use_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/use_lease_task.py
@@ -22,7 +22,7 @@
 
 from .errors import PeerError
 from .keeper_task import keeper_rank, live_engines
-from .mailbox import every
+from .mailbox import run_periodically
 from .messages import (
     Acquire,
     EngineLoad,
@@ -37,7 +37,7 @@
     Wanted,
 )
 from .metrics import Metrics
-from .peers import PeerCaller
+from .peers import PeerClient
 from .shared_settings import TimingSettings
 
 RENEWALS_PER_LEASE = 4
@@ -58,7 +58,7 @@
         holder: HolderId,
         address: Address,
         data_centre: DataCentre,
-        peers: PeerCaller,
+        peers: PeerClient,
         timing: TimingSettings,
         clock: Clock,
         metrics: Metrics,
@@ -82,7 +82,7 @@
 
     async def run(self) -> None:
         """Renew leases for good."""
-        await every(self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_leases)
+        await run_periodically(self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_leases)
 
     def apply_roster(self, roster: Roster) -> None:
         """Take the list; targets that leave get no new work from now on."""
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -41,7 +41,7 @@
 from sardinequay_core.usage_view import Usage
 from sardinequay_daemon.content_updates import apply_content_update
 from sardinequay_daemon.digest_writer import DigestWriter
-from sardinequay_daemon.fleet_task import SEED_PERIOD_S, FleetTask, HeardDigest
+from sardinequay_daemon.fleet_task import SEED_PERIOD_S, FleetTask, ReceivedDigest
 from sardinequay_daemon.relay_state import RelayState
 from sardinequay_daemon.serving_messages import (
     AdapterUse,
@@ -49,7 +49,7 @@
     Digest,
     EngineHoldings,
 )
-from sardinequay_daemon.store_task import FRESH_PEER_S, StoreStanding
+from sardinequay_daemon.store_task import FRESH_READER_AGE_S, StoreStatus
 
 from .conftest import ManualClock
 
@@ -74,8 +74,8 @@
 
     age_s: float = 0.1
 
-    def standing(self) -> StoreStanding:
-        return StoreStanding(1, 1, self.age_s)
+    def status(self) -> StoreStatus:
+        return StoreStatus(1, 1, self.age_s)
 
 
 @dataclass
@@ -124,16 +124,16 @@
         self.fleet.digests.subscribe(self.state.apply_digest)
         self.fleet.digests.subscribe(self.take_contents)
         self.contents_heard = 0
-        self.fleet.digests.subscribe(self.writer.take_digest)
-        self.fleet.lost.subscribe(self.state.forget_peer)
-        self.fleet.lost.subscribe(self.writer.tell_anew)
+        self.fleet.digests.subscribe(self.writer.handle_digest)
+        self.fleet.lost_peers.subscribe(self.state.forget_peer)
+        self.fleet.lost_peers.subscribe(self.writer.reset_sent_state)
         self.is_down = False
         self.next_near = self.next_far = 0.0
 
-    def take_contents(self, heard: HeardDigest) -> None:
+    def take_contents(self, heard: ReceivedDigest) -> None:
         for news in heard.digest.contents:
             self.contents_heard += 1
-            apply_content_update(self.state.quarantine, news, heard.at)
+            apply_content_update(self.state.quarantine, news, heard.received_at)
 
     def see_end(self, target: str) -> None:
         """See a target end under a request."""
@@ -146,7 +146,7 @@
         return bool(self.state.quarantine.remaining_hold(FATAL, now))
 
     def tell(self, host_id: HostId) -> Digest:
-        return self.writer.digest(host_id)
+        return self.writer.build_digest(host_id)
 
 
 class World:
@@ -161,22 +161,22 @@
         self.cut: set[str] = set()
         self.elapsed_s = 0.0
         for host in self.hosts:
-            host.fleet.start = self.starter(host)
+            host.fleet.start_exchange = self.starter(host)
 
     def starter(self, caller: Host):
         def start(host_id: HostId, address: Address) -> None:
             self.calls[caller.me.host_id] += 1
             callee = self.by_address[str(address)]
             if callee.is_down or not self.reaches(caller, callee):
-                caller.fleet.digest(host_id)
-                caller.fleet.miss(host_id)
+                caller.fleet.build_digest(host_id)
+                caller.fleet.record_failed_exchange(host_id)
                 return
             self.calls[callee.me.host_id] += 1
-            digest = caller.fleet.digest(host_id)
-            callee.fleet.hear(digest)
-            answer = callee.fleet.digest(digest.host.host_id)
-            caller.fleet.missed.pop(host_id, None)
-            caller.fleet.hear(answer)
+            digest = caller.fleet.build_digest(host_id)
+            callee.fleet.handle_digest(digest)
+            answer = callee.fleet.build_digest(digest.host.host_id)
+            caller.fleet.failed_exchanges.pop(host_id, None)
+            caller.fleet.handle_digest(answer)
 
         return start
 
@@ -200,14 +200,14 @@
             round((self.elapsed_s + offset) / STEP_S) % round(SEED_PERIOD_S / STEP_S)
             == 0
         ):
-            fleet.ask_seeds()
-            fleet.forget_silent(self.clock.monotonic())
+            fleet.exchange_with_seeds()
+            fleet.prune_silent_peers(self.clock.monotonic())
         if self.elapsed_s >= host.next_near:
-            host.next_near = self.elapsed_s + fleet.period_s(is_near=True)
-            fleet.tell_near()
+            host.next_near = self.elapsed_s + fleet.digest_period_s(is_near=True)
+            fleet.exchange_with_near_peers()
         if self.elapsed_s >= host.next_far:
             host.next_far = self.elapsed_s + fleet.far_period_s()
-            fleet.tell_far()
+            fleet.exchange_with_far_peers()
 
     def choose_holders(self) -> None:
         """Let one host of each data centre hold its lease."""
@@ -383,7 +383,7 @@
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     reborn = world.hosts[place] = Host(place, clock, seeds)
     world.by_address[reborn.me.address] = reborn
-    reborn.fleet.start = world.starter(reborn)
+    reborn.fleet.start_exchange = world.starter(reborn)
     world.pass_time(2)
     assert A in reborn.state.residency.reported[E].adapters
     assert len(reborn.fleet.contacts()) == 50
@@ -396,7 +396,7 @@
     world.hosts = [Host(n, clock, seeds) for n in range(50)]
     world.by_address = {h.me.address: h for h in world.hosts}
     for host in world.hosts:
-        host.fleet.start = world.starter(host)
+        host.fleet.start_exchange = world.starter(host)
     world.pass_time(2.5)
     assert {len(h.fleet.voters(seconds(1))) for h in world.hosts} == {9}
 
@@ -467,7 +467,7 @@
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     reborn = world.hosts[place] = Host(place, clock, seeds)
     world.by_address[reborn.me.address] = reborn
-    reborn.fleet.start = world.starter(reborn)
+    reborn.fleet.start_exchange = world.starter(reborn)
     world.pass_time(2)
     assert reborn.holds()
 
@@ -504,7 +504,7 @@
     others = [h for h in world.live("zd") if not h.orders.lease.is_holder]
     for host in others:
         assert lost.me.host_id in host.fleet.voters(seconds(1))
-        assert lost.me.host_id not in {p.contact.host_id for p in host.fleet.alive()}
+        assert lost.me.host_id not in {p.contact.host_id for p in host.fleet.live_peers()}
 
 
 def test_store_heard_by_a_hub_elsewhere_grows_old_with_what_it_told(world: World):
@@ -513,7 +513,7 @@
         host.writer.store.age_s = 7.0
     world.pass_time(2)
     for host in world.hosts:
-        assert host.fleet.freshest_store_age_s() >= FRESH_PEER_S, host.me
+        assert host.fleet.freshest_store_age_s() >= FRESH_READER_AGE_S, host.me
 
 
 def test_outage_of_the_store_makes_few_hosts_read(world: World) -> None:
@@ -543,7 +543,7 @@
     now = host.fleet.clock.monotonic()
     host.state.count_hosts()
     results = [
-        host.state.quotas.book.admit(NORTH, tokens, now) for _ in range(requests)
+        host.state.quotas.ledger.admit(NORTH, tokens, now) for _ in range(requests)
     ]
     return sum(result.cost for result in results if isinstance(result, Admitted))
 
@@ -553,7 +553,7 @@
     """The fleet with an organisation whose quota has been whole for long."""
     for host in world.hosts:
         now = world.clock.monotonic()
-        host.state.quotas.book.apply_organisations((NORTH,), now)
+        host.state.quotas.ledger.apply_organisations((NORTH,), now)
     world.pass_time(4.0)
     return world
 
@@ -567,8 +567,8 @@
         use(host, 200)
     world.pass_time(1.5)
     for host in (world.hosts[0], world.hosts[41], world.hosts[43]):
-        host.state.quotas.book.settle_all(world.clock.monotonic())
-        usage = host.state.quotas.book.usage
+        host.state.quotas.ledger.settle_all(world.clock.monotonic())
+        usage = host.state.quotas.ledger.usage
         own = usage.own.get(NORTH.name, Usage()).admitted
         hub = host.fleet.hub()
         assert hub != host.me
@@ -596,7 +596,7 @@
     world.pass_time(6.0)
     for host in islands:
         host.state.count_hosts()
-        shares[host.me.data_centre] = host.state.quotas.book.share
+        shares[host.me.data_centre] = host.state.quotas.ledger.share
     assert sum(shares.values()) == pytest.approx(1.0, abs=0.05)
 
 
@@ -611,7 +611,7 @@
             use(host, 4, tokens=4)
         world.pass_time(STEP_S)
         for host in world.hosts:
-            book, now = host.state.quotas.book, world.clock.monotonic()
+            book, now = host.state.quotas.ledger, world.clock.monotonic()
             account = book.accounts[NORTH.name]
             most = max(most, book.asked_per_s(NORTH.name, account, now))
     assert most <= 3 * 25 * 4 * 4 / STEP_S
@@ -625,7 +625,7 @@
     for host in world.hosts:
         host.state.count_hosts()
         assert host.fleet.live_hosts < 50
-        assert host.state.fleet_size.hosts() >= 50
+        assert host.state.fleet_size.estimated_hosts() >= 50
 
 
 def test_hosts_divide_repeats_by_all_while_a_hub_is_lost(world: World) -> None:
@@ -636,7 +636,7 @@
         world.pass_time(0.2)
         for host in world.hosts:
             host.state.count_hosts()
-            assert host.state.fleet_size.hosts() >= 50
+            assert host.state.fleet_size.estimated_hosts() >= 50
 
 
 def test_host_that_has_just_started_takes_a_small_part_of_the_repeats(
@@ -644,7 +644,7 @@
 ) -> None:
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     host = Host(7, clock, seeds)
-    assert host.state.fleet_size.hosts() == ASSUMED_HOSTS
+    assert host.state.fleet_size.estimated_hosts() == ASSUMED_HOSTS
     clock.advance(60)
     host.state.count_hosts()
-    assert host.state.fleet_size.hosts() == len(seeds) + 1
+    assert host.state.fleet_size.estimated_hosts() == len(seeds) + 1
