--- a/packages/cli/src/sardinequay_cli/bundle_verbs.py
+++ b/packages/cli/src/sardinequay_cli/bundle_verbs.py
@@ -8,8 +8,8 @@
 from returns.result import Success
 
 from sardinequay_core.approval import (
-    SignedRoot,
     RootComparison,
+    SignedRoot,
     add_approval,
     compare_roots,
     encode_signed_root,
--- a/packages/cli/src/sardinequay_cli/files.py
+++ b/packages/cli/src/sardinequay_cli/files.py
@@ -10,7 +10,12 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from returns.result import Success
 
-from sardinequay_core.approval import SignedRoot, ApprovalPolicy, encode_signed_root, parse_signed_root
+from sardinequay_core.approval import (
+    ApprovalPolicy,
+    SignedRoot,
+    encode_signed_root,
+    parse_signed_root,
+)
 from sardinequay_core.bundle import Contents
 from sardinequay_core.names import Digest
 from sardinequay_daemon.settings import Settings
--- a/packages/core/src/sardinequay_core/approval.py
+++ b/packages/core/src/sardinequay_core/approval.py
@@ -12,7 +12,7 @@
 )
 from returns.result import Failure, Result, Success
 
-from .bundle import FANOUT, FORMAT, MAX_VALUE_BYTES, Root, decode_json, compute_digest
+from .bundle import FANOUT, FORMAT, MAX_VALUE_BYTES, Root, compute_digest, decode_json
 from .errors import BundleError
 from .names import Digest
 
@@ -81,7 +81,9 @@
     return {a.key_id for a in signed.approvals if is_valid_signature(a, message, trust)}
 
 
-def is_valid_signature(approval: Approval, message: bytes, trust: ApprovalPolicy) -> bool:
+def is_valid_signature(
+    approval: Approval, message: bytes, trust: ApprovalPolicy
+) -> bool:
     """Return whether a trusted key made this signature over `message`."""
     public = trust.keys.get(approval.key_id)
     if public is None:
@@ -111,9 +113,13 @@
     return Success(signed)
 
 
-def verify_signed_root(data: bytes, trust: ApprovalPolicy) -> Result[SignedRoot, BundleError]:
+def verify_signed_root(
+    data: bytes, trust: ApprovalPolicy
+) -> Result[SignedRoot, BundleError]:
     """Read a signed root and check that enough trusted keys approved it."""
-    return parse_signed_root(data).bind(lambda signed: check_approval_threshold(signed, trust))
+    return parse_signed_root(data).bind(
+        lambda signed: check_approval_threshold(signed, trust)
+    )
 
 
 def check_approval_threshold(
--- a/packages/core/src/sardinequay_core/bundle.py
+++ b/packages/core/src/sardinequay_core/bundle.py
@@ -260,7 +260,9 @@
     blob = blobs.get(digest)
     if blob is None:
         return Failure(BundleError(MISSING_BLOB, f"{what} {digest}"))
-    return decompress_blob(blob, digest).bind(lambda data: decode_json(data, kind, what))
+    return decompress_blob(blob, digest).bind(
+        lambda data: decode_json(data, kind, what)
+    )
 
 
 def missing_blobs(
@@ -323,7 +325,9 @@
     if digest in known:
         return Success(known[digest])
     return read_blob(blobs, digest, list[Adapter], "leaf").map(
-        lambda adapters: Leaf(digest, {a.name: intern_adapter_fields(a, shared) for a in adapters})
+        lambda adapters: Leaf(
+            digest, {a.name: intern_adapter_fields(a, shared) for a in adapters}
+        )
     )
 
 
--- a/packages/core/src/sardinequay_core/bundle_diff.py
+++ b/packages/core/src/sardinequay_core/bundle_diff.py
@@ -33,12 +33,26 @@
 def diff_contents(old: Contents, new: Contents) -> list[Difference]:
     """Return all differences, in a fixed order."""
     found = [
-        *diff_entries("callers", index_by_field(old.base.callers, "name"), index_by_field(new.base.callers, "name")),
-        *diff_entries("pools", index_by_field(old.base.pools, "name"), index_by_field(new.base.pools, "name")),
         *diff_entries(
-            "services", index_by_field(old.base.services, "prefix"), index_by_field(new.base.services, "prefix")
+            "callers",
+            index_by_field(old.base.callers, "name"),
+            index_by_field(new.base.callers, "name"),
+        ),
+        *diff_entries(
+            "pools",
+            index_by_field(old.base.pools, "name"),
+            index_by_field(new.base.pools, "name"),
+        ),
+        *diff_entries(
+            "services",
+            index_by_field(old.base.services, "prefix"),
+            index_by_field(new.base.services, "prefix"),
+        ),
+        *diff_entries(
+            "adapters",
+            index_by_field(old.adapters, "name"),
+            index_by_field(new.adapters, "name"),
         ),
-        *diff_entries("adapters", index_by_field(old.adapters, "name"), index_by_field(new.adapters, "name")),
     ]
     return sorted(found)
 
--- a/packages/core/src/sardinequay_core/bundle_lint.py
+++ b/packages/core/src/sardinequay_core/bundle_lint.py
@@ -4,7 +4,14 @@
 from collections.abc import Collection, Iterable, Iterator, Mapping
 from dataclasses import dataclass
 
-from .bundle import MAX_VALUE_BYTES, Adapter, BuiltBundle, Contents, PoolSettings, Service
+from .bundle import (
+    MAX_VALUE_BYTES,
+    Adapter,
+    BuiltBundle,
+    Contents,
+    PoolSettings,
+    Service,
+)
 from .names import MAX_NAME_CHARS, SEPARATOR, AdapterRef, PoolName
 
 MAX_PRIORITY = 9
@@ -28,7 +35,9 @@
     base = contents.base
     findings = [
         *duplicate_findings("callers", (c.name for c in base.callers)),
-        *duplicate_findings("callers.token_sha256", (c.token_sha256 for c in base.callers)),
+        *duplicate_findings(
+            "callers.token_sha256", (c.token_sha256 for c in base.callers)
+        ),
         *duplicate_findings("pools", (p.name for p in base.pools)),
         *duplicate_findings("services", (s.prefix for s in base.services)),
         *duplicate_findings("adapters", (a.name for a in contents.adapters)),
--- a/packages/core/src/sardinequay_core/catalogue.py
+++ b/packages/core/src/sardinequay_core/catalogue.py
@@ -156,13 +156,17 @@
 
 
 @singledispatch
-def apply_change(change: Change, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
+def apply_change(
+    change: Change, catalogue: Catalogue, absence: RemovalPolicy
+) -> Catalogue:
     """Return the catalogue with one change folded in."""
     raise TypeError(f"no change of the catalogue: {change!r}")
 
 
 @apply_change.register
-def _(change: ConfigPublished, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
+def _(
+    change: ConfigPublished, catalogue: Catalogue, absence: RemovalPolicy
+) -> Catalogue:
     current = catalogue.config
     if current is not None and change.config.version <= current.version:
         return catalogue
@@ -170,7 +174,9 @@
 
 
 @apply_change.register
-def _(change: TargetPublished, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
+def _(
+    change: TargetPublished, catalogue: Catalogue, absence: RemovalPolicy
+) -> Catalogue:
     published = change.published
     target_id = published.target.target_id
     known = catalogue.targets.get(target_id)
@@ -206,7 +212,9 @@
 
 
 @apply_change.register
-def _(change: TargetUnreadable, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
+def _(
+    change: TargetUnreadable, catalogue: Catalogue, absence: RemovalPolicy
+) -> Catalogue:
     return replace(
         catalogue,
         targets=without_key(catalogue.targets, change.target_id),
@@ -215,7 +223,9 @@
 
 
 @apply_change.register
-def _(change: VersionPublished, catalogue: Catalogue, absence: RemovalPolicy) -> Catalogue:
+def _(
+    change: VersionPublished, catalogue: Catalogue, absence: RemovalPolicy
+) -> Catalogue:
     known = catalogue.newest_versions.get(change.name)
     if known is not None and int(known) >= int(change.version):
         return catalogue
--- a/packages/core/src/sardinequay_core/claimant.py
+++ b/packages/core/src/sardinequay_core/claimant.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .claims import ClaimPolicy, ClaimRequest, ClaimVote, Settle, ClaimDecision
+from .claims import ClaimDecision, ClaimPolicy, ClaimRequest, ClaimVote, Settle
 from .clock import Instant
 from .names import AttemptId, HostId
 from .outcome import Outcome
@@ -61,7 +61,11 @@
         answered = len(self.votes.keys() | self.unreachable)
         if granted + len(self.view.guards) - answered >= self.view.majority:
             return ClaimStatus.OPEN
-        return ClaimStatus.HELD if self.count_votes(ClaimDecision.HELD) else ClaimStatus.UNAVAILABLE
+        return (
+            ClaimStatus.HELD
+            if self.count_votes(ClaimDecision.HELD)
+            else ClaimStatus.UNAVAILABLE
+        )
 
     def settled_outcome(self) -> Outcome | None:
         """Return what became of the attempt that holds the key, if a guard knows."""
--- a/packages/core/src/sardinequay_core/claims.py
+++ b/packages/core/src/sardinequay_core/claims.py
@@ -201,7 +201,9 @@
         self.listed_guards_since = started_at
         self.incarnation = incarnation
         self.policy = policy
-        self.has_full_memory = founding_view is not None and founding_view.has_guard(own_host_id)
+        self.has_full_memory = founding_view is not None and founding_view.has_guard(
+            own_host_id
+        )
         self.base_view: View | None = founding_view if self.has_full_memory else None
         self.active_view: View | None = self.base_view
         self.lowest_allowed_view = 0
@@ -211,7 +213,10 @@
 
     def newest_known_view(self) -> View | None:
         """Return the latest view heard of."""
-        views = [*self.known_later_views.values(), *([self.active_view] if self.active_view else [])]
+        views = [
+            *self.known_later_views.values(),
+            *([self.active_view] if self.active_view else []),
+        ]
         return max(views, key=lambda view: view.number, default=None)
 
     def record_view(self, view: View) -> None:
@@ -238,7 +243,9 @@
         self.enter_if_same_guards(request.view)
         active = self.active_view
         number = request.view.number
-        if number < self.lowest_allowed_view or (active is not None and number < active.number):
+        if number < self.lowest_allowed_view or (
+            active is not None and number < active.number
+        ):
             return ClaimVote(ClaimDecision.OLD_VIEW, self.newest_known_view())
         is_current = active is not None and active.number == number
         is_listed = now - self.listing_confirmed_at <= self.policy.listing_timeout
@@ -248,7 +255,10 @@
 
     def is_sealed(self) -> bool:
         """Return whether the active view was handed over to a later one."""
-        return self.active_view is not None and self.lowest_allowed_view > self.active_view.number
+        return (
+            self.active_view is not None
+            and self.lowest_allowed_view > self.active_view.number
+        )
 
     def enter_if_same_guards(self, view: View) -> None:
         """Enter a later view of the same guards at once: majorities still overlap.
@@ -266,7 +276,9 @@
         self.has_full_memory = True
         self.active_view = self.base_view = view
         self.lowest_allowed_view = max(self.lowest_allowed_view, view.number)
-        self.known_later_views = {n: v for n, v in self.known_later_views.items() if n > view.number}
+        self.known_later_views = {
+            n: v for n, v in self.known_later_views.items() if n > view.number
+        }
 
     def vote_on_claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
         """Grant a key that no other attempt holds."""
@@ -305,15 +317,23 @@
             if not attempts:
                 del self.claims_by_key[key]
 
-    def handle_handover_request(self, request: HandoverRequest, now: Instant) -> Handover:
+    def handle_handover_request(
+        self, request: HandoverRequest, now: Instant
+    ) -> Handover:
         """Seal a view in favour of a later one and tell what is remembered."""
         if not self.has_full_memory:
             return Handover(remembers=False, incarnation=self.incarnation)
-        self.lowest_allowed_view = max(self.lowest_allowed_view, request.successor.number)
+        self.lowest_allowed_view = max(
+            self.lowest_allowed_view, request.successor.number
+        )
         self.record_view(request.successor)
         earlier_joins = self.record_join_request(request)
         page, more = self.claims_page(request.after_key, now)
-        later = [v for n, v in sorted(self.known_later_views.items()) if n > request.view.number]
+        later = [
+            v
+            for n, v in sorted(self.known_later_views.items())
+            if n > request.view.number
+        ]
         return Handover(
             remembers=True,
             incarnation=self.incarnation,
--- a/packages/core/src/sardinequay_core/demand_table.py
+++ b/packages/core/src/sardinequay_core/demand_table.py
@@ -29,7 +29,9 @@
         count, at = found
         return count * math.exp2(-((now - at) / self.half_life))
 
-    def record_requests(self, adapter: AdapterRef, now: Instant, count: float = 1.0) -> None:
+    def record_requests(
+        self, adapter: AdapterRef, now: Instant, count: float = 1.0
+    ) -> None:
         """Count requests for an adapter."""
         self.counts[adapter] = (self.decayed_count(adapter, now) + count, now)
 
--- a/packages/core/src/sardinequay_core/engine_record.py
+++ b/packages/core/src/sardinequay_core/engine_record.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 from .clock import ZERO, Instant
-from .leases import HolderId, AdapterUse
-from .load_queue import RejectWaiter, LoadPolicy
+from .leases import AdapterUse, HolderId
+from .load_queue import LoadPolicy, RejectWaiter
 from .names import AdapterRef, TargetId
 from .roster import Target
 
--- a/packages/core/src/sardinequay_core/engine_scheduler.py
+++ b/packages/core/src/sardinequay_core/engine_scheduler.py
@@ -14,10 +14,10 @@
 from .demand_table import DemandTable
 from .engine_orders import (
     AskReport,
+    EngineOrder,
     EngineStatus,
     LoadAdapter,
     LoadModel,
-    EngineOrder,
     Rest,
     SchedulerStep,
     UnloadAdapter,
@@ -152,7 +152,9 @@
         loads_ahead = sum(
             1
             for other, wanted in self.load_requests.items()
-            if other != adapter and wanted.load_value(now, self.load_times.expected_load_s(other)) >= own_value
+            if other != adapter
+            and wanted.load_value(now, self.load_times.expected_load_s(other))
+            >= own_value
         )
         return (
             self.load_times.expected_load_s(adapter)
@@ -162,7 +164,8 @@
     def is_ready(self, adapter: AdapterRef) -> bool:
         """Return whether an adapter takes requests, in this version or a later one."""
         return any(
-            self.is_open(held) and held.is_at_least(adapter) for held in self.last_used_at
+            self.is_open(held) and held.is_at_least(adapter)
+            for held in self.last_used_at
         )
 
     def is_open(self, adapter: AdapterRef) -> bool:
@@ -224,7 +227,9 @@
                 del self.loading_until[adapter]
         self.late_since.clear()
         for adapter in status.coming:
-            self.loading_until.setdefault(adapter, now + seconds(self.load_times.cold_load_s))
+            self.loading_until.setdefault(
+                adapter, now + seconds(self.load_times.cold_load_s)
+            )
         self.unloading &= set(self.last_used_at)
 
     def record_loaded(self, adapter: AdapterRef, now: Instant) -> None:
@@ -246,7 +251,9 @@
                 if now >= waiter.until:
                     self.cancel_waiter(adapter, ticket)
 
-    def handle_order_accepted(self, order: EngineOrder, holds_already: bool, now: Instant) -> None:
+    def handle_order_accepted(
+        self, order: EngineOrder, holds_already: bool, now: Instant
+    ) -> None:
         """Take that an order was accepted, or held already."""
         # An engine drops an adapter at once, says that the order holds, and counts it.
         counts = not holds_already or isinstance(order, UnloadAdapter)
@@ -295,7 +302,9 @@
         self.increment_change_number()
         arrived_at = self.loaded_at.pop(adapter, None)
         late_duration = now - self.late_since.setdefault(adapter, now)
-        is_recent = arrived_at is not None and now - arrived_at < seconds(LATE_LOAD_WINDOW_S)
+        is_recent = arrived_at is not None and now - arrived_at < seconds(
+            LATE_LOAD_WINDOW_S
+        )
         if is_recent and late_duration < seconds(MAX_LATE_LOAD_S):
             self.load_times.record_late_load(adapter)
             self.loading_until[adapter] = now + seconds(LATE_LOAD_RETRY_S)
@@ -312,7 +321,9 @@
 
     # What comes next.
 
-    def next_step(self, in_use: Mapping[AdapterRef, int], now: Instant) -> SchedulerStep:
+    def next_step(
+        self, in_use: Mapping[AdapterRef, int], now: Instant
+    ) -> SchedulerStep:
         """Return the next order, a report to ask for, or how long to rest."""
         self.complete_due_loads(now)
         self.record_uses(in_use, now)
@@ -386,7 +397,9 @@
             return False
         return now - self.last_used_at[adapter] >= seconds(USED_GRACE_S)
 
-    def eviction_order(self, in_use: Mapping[AdapterRef, int], now: Instant) -> EngineOrder | None:
+    def eviction_order(
+        self, in_use: Mapping[AdapterRef, int], now: Instant
+    ) -> EngineOrder | None:
         """Return the order that frees a place, if an adapter can go.
 
         What is in use stays open to new requests until it falls idle by itself: closed
@@ -411,11 +424,17 @@
         self, adapter: AdapterRef, now: Instant
     ) -> tuple[float, Instant, AdapterRef]:
         """Return what adapters are ranked by; the least makes way first."""
-        return self.demand.decayed_count(adapter, now), self.last_used_at[adapter], adapter
+        return (
+            self.demand.decayed_count(adapter, now),
+            self.last_used_at[adapter],
+            adapter,
+        )
 
     def rest_s(self, now: Instant) -> float:
         """Return how long nothing can change by itself."""
         if self.load_requests:
             return UNLOAD_RETRY_S
-        due = [max(0.005, (at - now).total_seconds()) for at in self.loading_until.values()]
+        due = [
+            max(0.005, (at - now).total_seconds()) for at in self.loading_until.values()
+        ]
         return min([1.0, *due])
--- a/packages/core/src/sardinequay_core/fleet_topology.py
+++ b/packages/core/src/sardinequay_core/fleet_topology.py
@@ -34,7 +34,9 @@
     return hosts <= MAX_MESH_HOSTS
 
 
-def digest_scope(hub: HostId, me: HostId, peer: HostId, peer_is_near: bool) -> DigestScope:
+def digest_scope(
+    hub: HostId, me: HostId, peer: HostId, peer_is_near: bool
+) -> DigestScope:
     """Return what one host of a large fleet tells another.
 
     Parameters
--- a/packages/core/src/sardinequay_core/guard_duty.py
+++ b/packages/core/src/sardinequay_core/guard_duty.py
@@ -50,7 +50,9 @@
         """Take what became of a claimed request."""
         self.guard.handle_settle(message)
 
-    def handle_handover_request(self, request: HandoverRequest, now: Instant) -> Handover:
+    def handle_handover_request(
+        self, request: HandoverRequest, now: Instant
+    ) -> Handover:
         """Seal a view and tell what is remembered."""
         handover = self.guard.handle_handover_request(request, now)
         self.join_newest_view(now)
@@ -60,7 +62,11 @@
         """Start to join the newest view, if this host guards in it."""
         guard = self.guard
         newest = guard.newest_known_view()
-        if newest is None or newest == guard.active_view or not newest.has_guard(guard.own_host_id):
+        if (
+            newest is None
+            or newest == guard.active_view
+            or not newest.has_guard(guard.own_host_id)
+        ):
             return
         if self.joining is not None and self.joining.target.number >= newest.number:
             return
@@ -68,7 +74,9 @@
         not_before = now if guard.has_full_memory else window_end
         self.joining = ViewJoin(guard, newest, self.founding_view, not_before)
 
-    def pending_requests(self, now: Instant) -> list[tuple[GuardAddress, HandoverRequest]]:
+    def pending_requests(
+        self, now: Instant
+    ) -> list[tuple[GuardAddress, HandoverRequest]]:
         """Return what to ask now, and whom."""
         return self.joining.pending_requests(now) if self.joining else []
 
--- a/packages/core/src/sardinequay_core/keeper.py
+++ b/packages/core/src/sardinequay_core/keeper.py
@@ -18,16 +18,16 @@
 from .clock import Instant
 from .engine_record import (
     Command,
+    EngineRecord,
     EngineReport,
-    LeaseGrant,
     KeeperPolicy,
-    EngineRecord,
+    LeaseGrant,
     LoadCommand,
     RecallCommand,
     UnloadCommand,
 )
-from .leases import HolderId, AdapterUse
-from .load_queue import RejectWaiter, LoadQueue
+from .leases import AdapterUse, HolderId
+from .load_queue import LoadQueue, RejectWaiter
 from .names import AdapterRef, TargetId
 from .roster import Presence, Target
 
@@ -250,7 +250,9 @@
         """Return whether an engine reported lately."""
         return now - kept.reported_at <= self.policy.report_timeout
 
-    def handle_lease_return(self, holder: HolderId, use: AdapterUse, sequence: int) -> None:
+    def handle_lease_return(
+        self, holder: HolderId, use: AdapterUse, sequence: int
+    ) -> None:
         """Take a lease back, unless it was granted by a later message."""
         held = self.leases.get(use, {})
         grant = held.get(holder)
@@ -277,7 +279,9 @@
         self.queue.refill_permits(now)
         self.queue.demand.prune_idle(now)
         self.retake_engines(now)
-        commands: list[Command] = [*self.queue.reject_late_requests(now, self.loading_adapters())]
+        commands: list[Command] = [
+            *self.queue.reject_late_requests(now, self.loading_adapters())
+        ]
         commands += self.assert_tokens()
         commands += self.unload_drained(now)
         return commands + self.advance_loads(now)
@@ -339,7 +343,9 @@
         """Spend a permit on a load."""
         self.queue.permits -= 1
         kept.loading = adapter
-        return LoadCommand(AdapterUse(adapter, kept.target.target_id), kept.next_token())
+        return LoadCommand(
+            AdapterUse(adapter, kept.target.target_id), kept.next_token()
+        )
 
     def engines_with_free_slots(self, now: Instant) -> list[EngineRecord]:
         """Return the engines that can load now, the least busy first."""
@@ -350,12 +356,16 @@
             and kept.loading is None
             and self.is_responsive(kept, now)
         ]
-        return sorted(free, key=lambda kept: (kept.request_count(), kept.target.target_id))
+        return sorted(
+            free, key=lambda kept: (kept.request_count(), kept.target.target_id)
+        )
 
     def eviction_candidates(self, now: Instant) -> list[EvictionCandidate]:
         """Return the adapters that may be evicted, the least wanted first."""
         return sorted(
-            EvictionCandidate(self.queue.priority(resident, now), resident, kept.target.target_id)
+            EvictionCandidate(
+                self.queue.priority(resident, now), resident, kept.target.target_id
+            )
             for kept in self.orderable_engines()
             if not kept.is_token_pending and now >= kept.foreign_leases_until
             for resident in kept.usable_adapters()
@@ -366,7 +376,9 @@
         """Stop granting an adapter and recall what was granted."""
         kept.draining.add(victim)
         use = AdapterUse(victim, kept.target.target_id)
-        return [RecallCommand(holder, use) for holder in sorted(self.leases.get(use, {}))]
+        return [
+            RecallCommand(holder, use) for holder in sorted(self.leases.get(use, {}))
+        ]
 
     def unload_drained(self, now: Instant) -> list[Command]:
         """Order the eviction of adapters that nobody can use any more."""
@@ -397,7 +409,9 @@
 
     # What became of orders.
 
-    def handle_load_done(self, use: AdapterUse, load_duration: timedelta, now: Instant) -> tuple[int, ...]:
+    def handle_load_done(
+        self, use: AdapterUse, load_duration: timedelta, now: Instant
+    ) -> tuple[int, ...]:
         """Take a finished load; return the tickets that need not wait any more."""
         kept = self.engines.get(use.target)
         if kept is None or kept.loading != use.adapter:
@@ -408,9 +422,13 @@
         if kept.is_token_pending:
             kept.is_token_pending = False
             # Another keeper may be confirmed by a report from just before.
-            kept.foreign_leases_until = now + self.policy.report_lag + self.policy.lease_duration
+            kept.foreign_leases_until = (
+                now + self.policy.report_lag + self.policy.lease_duration
+            )
         if kept.token:
-            kept.confirmed_at = max(kept.confirmed_at or now - load_duration, now - load_duration)
+            kept.confirmed_at = max(
+                kept.confirmed_at or now - load_duration, now - load_duration
+            )
         return self.queue.remove_loaded(use.adapter, load_duration)
 
     def handle_load_failed(self, use: AdapterUse, now: Instant) -> None:
--- a/packages/core/src/sardinequay_core/leases.py
+++ b/packages/core/src/sardinequay_core/leases.py
@@ -115,7 +115,9 @@
         for use in gone:
             self.return_lease(use)
         oldest = self.sequence - RETURN_HISTORY_MESSAGES
-        self.returned_at_sequence = {u: n for u, n in self.returned_at_sequence.items() if n >= oldest}
+        self.returned_at_sequence = {
+            u: n for u, n in self.returned_at_sequence.items() if n >= oldest
+        }
         return gone
 
     def held_leases(self) -> list[tuple[AdapterUse, int]]:
--- a/packages/core/src/sardinequay_core/load_queue.py
+++ b/packages/core/src/sardinequay_core/load_queue.py
@@ -75,7 +75,9 @@
         self.permits = min(self.policy.burst, self.permits + earned)
         self.refilled_at = now
 
-    def priority(self, adapter: AdapterRef, now: Instant, extra_requests: int = 0) -> float:
+    def priority(
+        self, adapter: AdapterRef, now: Instant, extra_requests: int = 0
+    ) -> float:
         """Return the worth of loading or keeping an adapter.
 
         Requests that wait count for the weight on load stalls; demand, which is what
@@ -94,7 +96,9 @@
         """Queue a request, or give it up at once if its load would come too late."""
         expected = self.expected_wait(adapter, now)
         waiting = self.waiting.get(adapter)
-        is_full = waiting is None and len(self.waiting) >= self.policy.max_waiting_adapters
+        is_full = (
+            waiting is None and len(self.waiting) >= self.policy.max_waiting_adapters
+        )
         if is_full or now + expected > deadline:
             return RejectWaiter(ticket, expected)
         if waiting is None:
@@ -126,11 +130,15 @@
         )
         return self.estimate_wait(ahead, self.waiting.get(adapter), now)
 
-    def estimate_wait(self, loads_ahead: int, waiting: WaitingRequests | None, now: Instant) -> timedelta:
+    def estimate_wait(
+        self, loads_ahead: int, waiting: WaitingRequests | None, now: Instant
+    ) -> timedelta:
         """Return the wait with `ahead` loads to be done first."""
         if self.policy.loads_per_s <= 0:
             return timedelta.max / 2
-        permit_wait = seconds(max(0.0, loads_ahead + 1 - self.permits) / self.policy.loads_per_s)
+        permit_wait = seconds(
+            max(0.0, loads_ahead + 1 - self.permits) / self.policy.loads_per_s
+        )
         backoff_left = max(ZERO, waiting.not_before - now) if waiting else ZERO
         return max(permit_wait, backoff_left) + self.load_time
 
@@ -168,7 +176,9 @@
         if not waiting.deadlines and now >= waiting.not_before:
             waiting.failures = 0
 
-    def remove_loaded(self, adapter: AdapterRef, load_duration: timedelta) -> tuple[int, ...]:
+    def remove_loaded(
+        self, adapter: AdapterRef, load_duration: timedelta
+    ) -> tuple[int, ...]:
         """Take a finished load; return the tickets that need not wait any more."""
         old = self.load_time * LOAD_TIME_SMOOTHING
         self.load_time = old + load_duration * (1 - LOAD_TIME_SMOOTHING)
--- a/packages/core/src/sardinequay_core/load_view.py
+++ b/packages/core/src/sardinequay_core/load_view.py
@@ -125,7 +125,9 @@
     def record_end(self, target: TargetId, tokens: int, had_first_event: bool) -> None:
         """Count a request out."""
         share = self.own[target]
-        left = share.with_added(0, -1) if had_first_event else share.with_added(-tokens, 0)
+        left = (
+            share.with_added(0, -1) if had_first_event else share.with_added(-tokens, 0)
+        )
         if left == NO_LOAD:
             del self.own[target]
         else:
@@ -192,7 +194,9 @@
                 found[target] = share.with_added(0, 0, expected_ms, took_ms)
         return found
 
-    def shares_excluding(self, host: HostId, now: Instant) -> dict[TargetId, EngineShare]:
+    def shares_excluding(
+        self, host: HostId, now: Instant
+    ) -> dict[TargetId, EngineShare]:
         """Return the part of all hosts but what one of them told, by engine."""
         self.expire_peers(now)
         told = self.peers.get(host)
@@ -239,9 +243,13 @@
         unread = self.total_share(target, now).unread_tokens + tokens
         return unread / DEFAULT_TOKENS_PER_S
 
-    def expected_first_event_s(self, target: TargetId, tokens: int, now: Instant) -> float:
+    def expected_first_event_s(
+        self, target: TargetId, tokens: int, now: Instant
+    ) -> float:
         """Return when a new request's first event is expected, in seconds."""
-        return BASE_LATENCY_S + self.engine_pace(target, now) * self.nominal_read_s(target, tokens, now)
+        return BASE_LATENCY_S + self.engine_pace(target, now) * self.nominal_read_s(
+            target, tokens, now
+        )
 
     def forget_target(self, target: TargetId) -> None:
         """Drop what was measured of a target that started again."""
--- a/packages/core/src/sardinequay_core/membership.py
+++ b/packages/core/src/sardinequay_core/membership.py
@@ -96,7 +96,10 @@
     def add_listed(self, members: Iterable[Member], now: Instant) -> None:
         """Take hosts from the platform's list that were never heard of."""
         for member in members:
-            if member.host_id != self.self_member.host_id and member.host_id not in self.records:
+            if (
+                member.host_id != self.self_member.host_id
+                and member.host_id not in self.records
+            ):
                 self.records[member.host_id] = MemberRecord(member, now)
 
     def next_ping_target(self) -> Member | None:
@@ -133,7 +136,9 @@
     def refute_update(self, member: Member) -> None:
         """Outbid news that this host is not what it is."""
         if member.overrides(self.self_member):
-            self.self_member = replace(self.self_member, incarnation=member.incarnation + 1)
+            self.self_member = replace(
+                self.self_member, incarnation=member.incarnation + 1
+            )
 
     def apply_update(self, member: Member, now: Instant) -> None:
         """Believe later news of a member."""
--- a/packages/core/src/sardinequay_core/order_candidate.py
+++ b/packages/core/src/sardinequay_core/order_candidate.py
@@ -58,9 +58,13 @@
             self.is_returning = is_return
             if is_return:
                 self.votes.clear()
-        return Ballot(self.own_host_id, data_centre, self.token, is_return, self.is_holder)
+        return Ballot(
+            self.own_host_id, data_centre, self.token, is_return, self.is_holder
+        )
 
-    def record_vote(self, voter: HostId, vote: Vote, asked_at: Instant, now: Instant) -> None:
+    def record_vote(
+        self, voter: HostId, vote: Vote, asked_at: Instant, now: Instant
+    ) -> None:
         """Take one voter's answer to a ballot sent at `asked_at`."""
         self.update_holder(now)
         self.highest_seen_token = max(self.highest_seen_token, vote.highest_token)
@@ -76,7 +80,9 @@
             self.update_holder(now)
             return
         self.uncounted_until.pop(voter, None)
-        self.votes[voter] = asked_at + self.policy.lease_duration - self.policy.safety_margin
+        self.votes[voter] = (
+            asked_at + self.policy.lease_duration - self.policy.safety_margin
+        )
         # While this host has held the lease nobody else has ordered. Voters that
         # restarted since cannot know that: heeded, each restart stopped orders for 3 s.
         since = self.held_since
@@ -96,7 +102,10 @@
         if not self.is_holder or granted_at is None:
             return
         started_by = now - seconds(vote.up_s)
-        if vote.abstains_s > 0 and started_by <= granted_at + self.policy.lease_duration:
+        if (
+            vote.abstains_s > 0
+            and started_by <= granted_at + self.policy.lease_duration
+        ):
             self.uncounted_until[voter] = asked_at + seconds(vote.abstains_s)
 
     def count_valid_votes(self, now: Instant) -> int:
--- a/packages/core/src/sardinequay_core/order_lease.py
+++ b/packages/core/src/sardinequay_core/order_lease.py
@@ -180,7 +180,9 @@
             is_free = is_renewal and now < self.vote_until and self.was_lease_held
         if ballot.is_holder and now < self.abstains_until and not self.renewing_holder:
             self.renewing_holder = ballot.candidate
-        granted = is_free and self.are_old_tokens_bounded and self.can_vote_for(ballot, now)
+        granted = (
+            is_free and self.are_old_tokens_bounded and self.can_vote_for(ballot, now)
+        )
         if granted:
             if self.holder != ballot.candidate:
                 self.record_previous_holder()
@@ -238,7 +240,9 @@
         if self.are_old_tokens_bounded:
             return
         self.are_old_tokens_bounded = True
-        self.highest_token = max(self.highest_token, upper_token_bound(revision, wall_s))
+        self.highest_token = max(
+            self.highest_token, upper_token_bound(revision, wall_s)
+        )
 
     def record_previous_holder(self) -> None:
         """Remember a holder whose vote ran out: it may have ordered until then."""
@@ -261,7 +265,9 @@
         """Return whether the vote is given to another host than the voter's own."""
         return self.holder not in (NO_HOST, own_host) and now < self.vote_until
 
-    def withdraw_own_vote(self, own_host: HostId, last_order_at: Instant | None, now: Instant) -> None:
+    def withdraw_own_vote(
+        self, own_host: HostId, last_order_at: Instant | None, now: Instant
+    ) -> None:
         """Take back the vote that a host gave itself without winning.
 
         It may have held the lease until now, and nobody else may remember that.
@@ -277,6 +283,8 @@
         if self.holder != message.holder:
             return
         if message.last_order_age_s is not None:
-            self.record_quiet_since(self.holder, now - seconds(message.last_order_age_s))
+            self.record_quiet_since(
+                self.holder, now - seconds(message.last_order_age_s)
+            )
         self.vote_until = now + self.policy.restart_grace
         self.has_holder_stopped = True
--- a/packages/core/src/sardinequay_core/quarantine.py
+++ b/packages/core/src/sardinequay_core/quarantine.py
@@ -103,7 +103,9 @@
 
     # What comes in.
 
-    def record_target_end(self, content: ContentId, end: TargetEnd, now: Instant) -> bool:
+    def record_target_end(
+        self, content: ContentId, end: TargetEnd, now: Instant
+    ) -> bool:
         """Take that a target ended under such a request; return whether that is new.
 
         Parameters
--- a/packages/core/src/sardinequay_core/quota_ledger.py
+++ b/packages/core/src/sardinequay_core/quota_ledger.py
@@ -139,7 +139,11 @@
     def own_asked_per_s(self, now: Instant) -> float:
         """Return what this host is asked for a second."""
         aged_s = (now - self.asked_at).total_seconds()
-        return self.asked * math.exp(-aged_s / DEMAND_TIME_CONSTANT_S) / DEMAND_TIME_CONSTANT_S
+        return (
+            self.asked
+            * math.exp(-aged_s / DEMAND_TIME_CONSTANT_S)
+            / DEMAND_TIME_CONSTANT_S
+        )
 
     def record_asked(self, cost: int, now: Instant) -> None:
         """Count what this host is asked for."""
@@ -204,7 +208,9 @@
             if account is not None:
                 account.remaining -= gain.usage.admitted - gain.expected_admitted
 
-    def apply_fleet_report(self, host: HostId, told: ReportedUsage, now: Instant) -> None:
+    def apply_fleet_report(
+        self, host: HostId, told: ReportedUsage, now: Instant
+    ) -> None:
         """Take from one peer what all others counted."""
         if self.usage.sources.keys() != {host}:
             self.settle_all(now)
@@ -229,7 +235,9 @@
         for name, account in self.accounts.items():
             self.settle(name, account, now)
 
-    def settle(self, name: OrganisationName, account: QuotaAccount, now: Instant) -> None:
+    def settle(
+        self, name: OrganisationName, account: QuotaAccount, now: Instant
+    ) -> None:
         """Add what became free since last time, less what others foreseeably used."""
         elapsed_s = (now - account.settled_at).total_seconds()
         if elapsed_s <= 0:
@@ -282,7 +290,9 @@
         account = self.accounts.get(admitted.organisation)
         if account is not None:
             account.remaining += admitted.cost
-            self.usage.record_usage(admitted.organisation, Usage(0, -admitted.cost), now)
+            self.usage.record_usage(
+                admitted.organisation, Usage(0, -admitted.cost), now
+            )
 
     def admitted_fraction(
         self, name: OrganisationName, account: QuotaAccount, cost: int, now: Instant
--- a/packages/core/src/sardinequay_core/reading_pace.py
+++ b/packages/core/src/sardinequay_core/reading_pace.py
@@ -64,7 +64,9 @@
     def measurement_of(self, target: TargetId, now: Instant) -> PaceMeasurement:
         """Return what this host measured of an engine."""
         known = self.own.get(target)
-        return known.decayed(now) if known is not None else PaceMeasurement(0.0, 0.0, now)
+        return (
+            known.decayed(now) if known is not None else PaceMeasurement(0.0, 0.0, now)
+        )
 
     def forget_target(self, target: TargetId) -> None:
         """Drop what was measured of a target that started again or is gone."""
--- a/packages/core/src/sardinequay_core/rendezvous.py
+++ b/packages/core/src/sardinequay_core/rendezvous.py
@@ -23,7 +23,9 @@
 def rank_members(key: str, members: Iterable[str]) -> list[str]:
     """Return `members` from the best to the worst for `key`."""
     return sorted(
-        members, key=lambda member: (rendezvous_score(key, member), member), reverse=True
+        members,
+        key=lambda member: (rendezvous_score(key, member), member),
+        reverse=True,
     )
 
 
--- a/packages/core/src/sardinequay_core/residency.py
+++ b/packages/core/src/sardinequay_core/residency.py
@@ -156,7 +156,9 @@
         """Take how many requests of a peer use an adapter from now on."""
         self.set_count(self.peers.setdefault(host, {}), target, adapter, count)
 
-    def apply_peer_end(self, host: HostId, target: TargetId, adapter: AdapterRef) -> None:
+    def apply_peer_end(
+        self, host: HostId, target: TargetId, adapter: AdapterRef
+    ) -> None:
         """Take that a host behind a peer uses an adapter no more."""
         uses = self.peers.get(host, {})
         count = uses.get((target, adapter), 0)
--- a/packages/core/src/sardinequay_core/retry_decision.py
+++ b/packages/core/src/sardinequay_core/retry_decision.py
@@ -75,7 +75,11 @@
     within_budget: bool,
 ) -> RetryDecision:
     """Return what follows, with the failed attempt already in `so_far`."""
-    give_up = RetryDecision.GIVE_UP_MAY_HAVE_RUN if counts.runs else RetryDecision.GIVE_UP_NOT_RUN
+    give_up = (
+        RetryDecision.GIVE_UP_MAY_HAVE_RUN
+        if counts.runs
+        else RetryDecision.GIVE_UP_NOT_RUN
+    )
     if counts.runs and not repetition.may_run_again:
         return give_up
     if counts.runs >= max_runs or counts.rejections >= MAX_REJECTIONS:
--- a/packages/core/src/sardinequay_core/rollout.py
+++ b/packages/core/src/sardinequay_core/rollout.py
@@ -6,9 +6,9 @@
 from returns.result import Failure, Result, Success
 
 from .approval import (
-    SignedRoot,
     ApprovalPolicy,
     RootComparison,
+    SignedRoot,
     compare_roots,
     root_digest,
     verify_signed_root,
@@ -99,4 +99,6 @@
 
     def can_serve(self) -> bool:
         """Return whether requests may be decided by the bundle in force."""
-        return self.in_force is not None and self.confirmation is not Confirmation.PENDING
+        return (
+            self.in_force is not None and self.confirmation is not Confirmation.PENDING
+        )
--- a/packages/core/src/sardinequay_core/shared_outcomes.py
+++ b/packages/core/src/sardinequay_core/shared_outcomes.py
@@ -91,7 +91,10 @@
         self, target: TargetId, now: Instant, good: float = 0.0, failed: float = 0.0
     ) -> None:
         """Count one request's end."""
-        self.own[target] = (self.own_outcomes(target, now).with_added(good, failed), now)
+        self.own[target] = (
+            self.own_outcomes(target, now).with_added(good, failed),
+            now,
+        )
 
     def own_outcomes(self, target: TargetId, now: Instant) -> Outcomes:
         """Return what this host saw of a target."""
@@ -160,7 +163,11 @@
 
         Hosts at which all went well tell that, too, once they hear of failures.
         """
-        failing = {t for t, (seen, _) in self.own.items() if seen.failed >= MIN_FAILURES_TO_REPORT}
+        failing = {
+            t
+            for t, (seen, _) in self.own.items()
+            if seen.failed >= MIN_FAILURES_TO_REPORT
+        }
         found = {}
         for target in sorted(failing | self.reported.keys()):
             seen = self.own_outcomes(target, now)
@@ -191,6 +198,9 @@
         failed = sum(o.failed for o in seen)
         if failed < MIN_FAILURES:
             return False
-        if sum(o.witnesses for o in seen if o.failed >= MIN_FAILURES_TO_REPORT) < MIN_WITNESSES:
+        if (
+            sum(o.witnesses for o in seen if o.failed >= MIN_FAILURES_TO_REPORT)
+            < MIN_WITNESSES
+        ):
             return False
         return failed > MAX_FAILURE_SHARE * (failed + sum(o.good for o in seen))
--- a/packages/core/src/sardinequay_core/target_choice.py
+++ b/packages/core/src/sardinequay_core/target_choice.py
@@ -221,14 +221,18 @@
     copies_due : int
         On how many engines its adapter should be by its share of all requests.
     """
-    eligible = [o for o in options if o.adapter_state is AdapterState.RESIDENT or o.may_load]
+    eligible = [
+        o for o in options if o.adapter_state is AdapterState.RESIDENT or o.may_load
+    ]
     if not eligible:
         return NoEngine()
     max_wait_s = remaining_s * MAX_WAIT_SHARE
     in_time = [o for o in eligible if expected_first_event_s(o) <= max_wait_s]
     if not in_time:
         soonest_s = min(expected_first_event_s(o) for o in eligible)
-        return EnginesTooBusy(max(soonest_s - max_wait_s, soonest_s * RETRY_AFTER_SHARE))
+        return EnginesTooBusy(
+            max(soonest_s - max_wait_s, soonest_s * RETRY_AFTER_SHARE)
+        )
     copies = count_copies(options, desired_copies)
     best = min(in_time, key=lambda o: (total_cost_s(o, copies), o.target))
     if best.adapter_state is AdapterState.RESIDENT:
--- a/packages/core/src/sardinequay_core/target_health.py
+++ b/packages/core/src/sardinequay_core/target_health.py
@@ -131,7 +131,9 @@
             record.shared_trial_at = now + round_s * self.trial_turn
         return now >= record.shared_trial_at
 
-    def usable_targets(self, targets: Iterable[TargetId], now: Instant) -> frozenset[TargetId]:
+    def usable_targets(
+        self, targets: Iterable[TargetId], now: Instant
+    ) -> frozenset[TargetId]:
         """Return the usable targets of a pool, or all reachable if hardly any is."""
         everything = frozenset(targets)
         chosen = frozenset(t for t in everything if self.is_usable(t, now))
@@ -155,7 +157,9 @@
         record = self.get_record(target)
         record.has_trial_running = record.is_on_trial
         if record.shared_trial_at is not None:
-            record.shared_trial_at += self.policy.shared_trial_interval * self.host_count
+            record.shared_trial_at += (
+                self.policy.shared_trial_interval * self.host_count
+            )
 
     def record_request_end(self, target: TargetId) -> None:
         """Note that a request is no longer there, whatever became of it.
@@ -202,12 +206,17 @@
         if record.failure_rate < self.policy.max_failure_rate / 2:
             record.pauses = 0
 
-    def record_failure(self, record: TargetHealthRecord, result: AttemptResult, now: Instant) -> bool:
+    def record_failure(
+        self, record: TargetHealthRecord, result: AttemptResult, now: Instant
+    ) -> bool:
         """Take a failure; return whether the target is now left out."""
         memory = self.policy.failure_decay
         weight = TIMEOUT_WEIGHT if result is AttemptResult.TIMED_OUT else 1.0
         record.failure_rate = record.failure_rate * memory + (1 - memory) * weight
-        is_certain = result in (AttemptResult.UNREACHABLE, AttemptResult.CONNECTION_LOST)
+        is_certain = result in (
+            AttemptResult.UNREACHABLE,
+            AttemptResult.CONNECTION_LOST,
+        )
         if not (
             is_certain
             or record.is_on_trial
--- a/packages/core/src/sardinequay_core/usage_view.py
+++ b/packages/core/src/sardinequay_core/usage_view.py
@@ -167,12 +167,16 @@
     changed_at: dict[OrganisationName, Instant] = field(default_factory=dict)
     added_at: dict[OrganisationName, Instant] = field(default_factory=dict)
 
-    def record_usage(self, organisation: OrganisationName, usage: Usage, now: Instant) -> None:
+    def record_usage(
+        self, organisation: OrganisationName, usage: Usage, now: Instant
+    ) -> None:
         """Count what this host was asked for or admitted."""
         add_usage(self.own, organisation, usage)
         self.changed_at[organisation] = now
 
-    def apply_report(self, host: HostId, told: ReportedUsage, now: Instant) -> list[UsageGain]:
+    def apply_report(
+        self, host: HostId, told: ReportedUsage, now: Instant
+    ) -> list[UsageGain]:
         """Take a peer's counts; return what they say that was not known."""
         scope = told.scope
         source = self.sources.get(host)
@@ -189,7 +193,9 @@
         source.reported_at = now
         return gains
 
-    def affected_organisations(self, host: HostId, told: UsageCounts) -> tuple[OrganisationName, ...]:
+    def affected_organisations(
+        self, host: HostId, told: UsageCounts
+    ) -> tuple[OrganisationName, ...]:
         """Return the organisations of which a peer says something by these counts."""
         source = self.sources.get(host)
         flows = source.flows if source is not None else {}
@@ -215,7 +221,9 @@
             source.record_flow(organisation, flow.updated(usage, over_s))
         return UsageGain(organisation, usage, flow.admitted_per_s * over_s)
 
-    def record_gain(self, host: HostId, scope: DigestScope, gain: UsageGain, now: Instant) -> None:
+    def record_gain(
+        self, host: HostId, scope: DigestScope, gain: UsageGain, now: Instant
+    ) -> None:
         """Count what was gained, for those to whom this host tells sums."""
         if gain.usage == NO_USAGE:
             return
@@ -223,7 +231,11 @@
         match scope:
             case DigestScope.HOST:
                 add_usage(self.local_gains, gain.organisation, gain.usage)
-                add_usage(self.gains_by_host.setdefault(host, {}), gain.organisation, gain.usage)
+                add_usage(
+                    self.gains_by_host.setdefault(host, {}),
+                    gain.organisation,
+                    gain.usage,
+                )
             case DigestScope.DATA_CENTRE:
                 add_usage(self.remote_gains, gain.organisation, gain.usage)
 
@@ -262,11 +274,15 @@
         """Return this host's counts that changed lately, and those named."""
         return self.recent_counts((self.own,), now, also)
 
-    def data_centre_counts(self, now: Instant, also: OrganisationNames = ()) -> UsageCounts:
+    def data_centre_counts(
+        self, now: Instant, also: OrganisationNames = ()
+    ) -> UsageCounts:
         """Return this data centre's counts that changed lately, and those named."""
         return self.recent_counts((self.own, self.local_gains), now, also)
 
-    def counts_excluding(self, host: HostId, now: Instant, also: OrganisationNames = ()) -> UsageCounts:
+    def counts_excluding(
+        self, host: HostId, now: Instant, also: OrganisationNames = ()
+    ) -> UsageCounts:
         """Return the counts of all hosts but one that changed lately, and those named.
 
         With what is foreseen of data centres since they were heard: a host that hears
@@ -277,7 +293,9 @@
             for source in self.sources.values()
             if source.scope is DigestScope.DATA_CENTRE
         ]
-        found = self.recent_counts((self.own, self.local_gains, self.remote_gains, *far), now, also)
+        found = self.recent_counts(
+            (self.own, self.local_gains, self.remote_gains, *far), now, also
+        )
         its = self.gains_by_host.get(host, {})
         return {o: usage.without(its.get(o, NO_USAGE)) for o, usage in found.items()}
 
@@ -311,6 +329,8 @@
     return UsageSource(told.scope, dict(told.counts), now, now, is_complete=False)
 
 
-def add_usage(counts: UsageCounts, organisation: OrganisationName, usage: Usage) -> None:
+def add_usage(
+    counts: UsageCounts, organisation: OrganisationName, usage: Usage
+) -> None:
     """Add to the count of one organisation."""
     counts[organisation] = counts.get(organisation, NO_USAGE).with_added(usage)
--- a/packages/core/src/sardinequay_core/view_join.py
+++ b/packages/core/src/sardinequay_core/view_join.py
@@ -63,7 +63,10 @@
         if not guard.has_full_memory and self.view.has_guard(guard.own_host_id):
             periods.append(BlankPeriod(guard.incarnation, guard.started_at, now))
         for moment in sorted({a.first_asked_at for a in periods}):
-            if sum(a.first_asked_at <= moment <= a.last_asked_at for a in periods) >= needed:
+            if (
+                sum(a.first_asked_at <= moment <= a.last_asked_at for a in periods)
+                >= needed
+            ):
                 return moment
         return None
 
@@ -109,7 +112,9 @@
         if view.number < self.target.number or is_target:
             self.gatherings.setdefault(view.number, ViewGathering(view))
 
-    def pending_requests(self, now: Instant) -> list[tuple[GuardAddress, HandoverRequest]]:
+    def pending_requests(
+        self, now: Instant
+    ) -> list[tuple[GuardAddress, HandoverRequest]]:
         """Return what to ask now, and whom."""
         pending = []
         for gathering in self.gatherings.values():
@@ -152,7 +157,9 @@
         """Remember since when a guard says that it is blank."""
         known_period = gathering.blank_periods.get(host_id)
         if known_period is None or known_period.incarnation != incarnation:
-            gathering.blank_periods[host_id] = BlankPeriod(incarnation, asked_at, asked_at)
+            gathering.blank_periods[host_id] = BlankPeriod(
+                incarnation, asked_at, asked_at
+            )
         else:
             known_period.last_asked_at = max(known_period.last_asked_at, asked_at)
 
@@ -174,7 +181,10 @@
     def gather_status(self, gathering: ViewGathering, now: Instant) -> GatherStatus:
         """Return how far one view's claims are gathered."""
         answers = self.fresh_handovers(gathering, now)
-        own = int(self.guard.has_full_memory and gathering.view.has_guard(self.guard.own_host_id))
+        own = int(
+            self.guard.has_full_memory
+            and gathering.view.has_guard(self.guard.own_host_id)
+        )
         if len(answers) + own >= gathering.view.majority:
             return GatherStatus.COMPLETE
         if self.are_claims_expired(gathering, now):
@@ -186,7 +196,10 @@
         forgotten = gathering.majority_blank_at(self.guard, now)
         if forgotten is not None and now > forgotten + self.policy.retention:
             return True
-        return gathering.view.guards != self.target.guards and self.are_other_guards_expired(now)
+        return (
+            gathering.view.guards != self.target.guards
+            and self.are_other_guards_expired(now)
+        )
 
     def are_other_guards_expired(self, now: Instant) -> bool:
         """Return whether guards of any other view have stopped voting long ago."""
@@ -217,7 +230,8 @@
         later = [
             g
             for n, g in self.gatherings.items()
-            if n >= start.view.number and (n < self.target.number or n in self.own_earlier_views)
+            if n >= start.view.number
+            and (n < self.target.number or n in self.own_earlier_views)
         ]
         is_gathered = all(
             self.gather_status(g, now) is not GatherStatus.INCOMPLETE for g in later
--- a/packages/core/src/sardinequay_core/views.py
+++ b/packages/core/src/sardinequay_core/views.py
@@ -64,7 +64,9 @@
 ) -> list[EntryHost]:
     """Return the first hosts of a data centre by its own ranking."""
     local = [h for h in hosts if hosts[h].data_centre == data_centre]
-    return [hosts[HostId(h)] for h in rank_members(f"guards/{data_centre}", local)[:count]]
+    return [
+        hosts[HostId(h)] for h in rank_members(f"guards/{data_centre}", local)[:count]
+    ]
 
 
 def other_data_centres(
--- a/packages/core/tests/conftest.py
+++ b/packages/core/tests/conftest.py
@@ -7,9 +7,9 @@
 from hypothesis import settings
 
 from sardinequay_core.clock import seconds
-from sardinequay_core.keeper import Keeper
 from sardinequay_core.engine_record import EngineReport, KeeperPolicy, LoadCommand
-from sardinequay_core.leases import HolderId, AdapterUse
+from sardinequay_core.keeper import Keeper
+from sardinequay_core.leases import AdapterUse, HolderId
 from sardinequay_core.load_queue import LoadPolicy
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.roster import Target, TargetKind
--- a/packages/core/tests/test_adapter_demand.py
+++ b/packages/core/tests/test_adapter_demand.py
@@ -11,7 +11,13 @@
 )
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import HostId, TargetId
-from sardinequay_core.target_choice import EngineOption, AdapterState, LoadOnEngine, SendToEngine, select_engine
+from sardinequay_core.target_choice import (
+    AdapterState,
+    EngineOption,
+    LoadOnEngine,
+    SendToEngine,
+    select_engine,
+)
 
 NOW = seconds(100)
 ENGINES = 39
--- a/packages/core/tests/test_bundle.py
+++ b/packages/core/tests/test_bundle.py
@@ -10,9 +10,9 @@
 from returns.result import Success
 
 from sardinequay_core.approval import (
-    SignedRoot,
     ApprovalPolicy,
     RootComparison,
+    SignedRoot,
     add_approval,
     compare_roots,
     encode_signed_root,
@@ -30,8 +30,8 @@
     assemble_bundle,
     build_bundle,
     compute_digest,
-    missing_blobs,
     decompress_blob,
+    missing_blobs,
 )
 from sardinequay_core.bundle_diff import diff_contents
 from sardinequay_core.bundle_lint import lint_contents, lint_sizes
@@ -103,7 +103,9 @@
         pytest.param(b"", "malformed", id="empty"),
         pytest.param(b"x" * 1_000_001, "too_large", id="over the limit"),
         pytest.param(
-            encode_signed_root(replace(signed(), root=replace(signed().root, version=9))),
+            encode_signed_root(
+                replace(signed(), root=replace(signed().root, version=9))
+            ),
             "under_signed",
             id="tampered",
         ),
@@ -113,7 +115,9 @@
             id="one approval twice",
         ),
         pytest.param(
-            encode_signed_root(replace(signed(), root=replace(signed().root, format=2))),
+            encode_signed_root(
+                replace(signed(), root=replace(signed().root, format=2))
+            ),
             "format",
             id="another format",
         ),
@@ -149,7 +153,9 @@
     built = build_bundle(contents(), 1)
     wrong = {d: b"other" for d in built.blobs}
     digest = root_digest(built.root)
-    assert assemble_bundle(built.root, digest, wrong).failure().reason == "digest_mismatch"
+    assert (
+        assemble_bundle(built.root, digest, wrong).failure().reason == "digest_mismatch"
+    )
     assert assemble_bundle(built.root, digest, {}).failure().reason == "missing_blob"
 
 
--- a/packages/core/tests/test_catalogue.py
+++ b/packages/core/tests/test_catalogue.py
@@ -5,17 +5,17 @@
 import pytest
 
 from sardinequay_core.catalogue import (
-    RemovalPolicy,
     Catalogue,
     ConfigPublished,
     PublishedTarget,
+    RemovalPolicy,
     TargetPublished,
     TargetRemoved,
     TargetUnreadable,
     VersionPublished,
-    expire_unconfirmed,
     apply_change,
     apply_listing,
+    expire_unconfirmed,
     is_equal_except_revisions,
 )
 from sardinequay_core.clock import seconds
@@ -58,9 +58,9 @@
 def test_older_entry_of_a_target_is_ignored(one: Catalogue) -> None:
     late = apply_change(published("a", 4, Presence.LEAVING), one, PROMPT)
     assert late.live_targets(PoolName("pool"))
-    assert not apply_change(published("a", 6, Presence.LEAVING), one, PROMPT).live_targets(
-        PoolName("pool")
-    )
+    assert not apply_change(
+        published("a", 6, Presence.LEAVING), one, PROMPT
+    ).live_targets(PoolName("pool"))
 
 
 def test_removed_target_is_dropped_at_once_while_the_store_is_well(one) -> None:
@@ -94,8 +94,12 @@
 
 def test_newest_version_of_an_adapter_only_rises() -> None:
     first = apply_change(VersionPublished("m/a", "10"), Catalogue(), PROMPT)
-    assert apply_change(VersionPublished("m/a", "9"), first, PROMPT).newest_versions == {"m/a": "10"}
-    assert apply_change(VersionPublished("m/a", "11"), first, PROMPT).newest_versions == {"m/a": "11"}
+    assert apply_change(
+        VersionPublished("m/a", "9"), first, PROMPT
+    ).newest_versions == {"m/a": "10"}
+    assert apply_change(
+        VersionPublished("m/a", "11"), first, PROMPT
+    ).newest_versions == {"m/a": "11"}
 
 
 def started(revision: int, incarnation: int) -> TargetPublished:
--- a/packages/core/tests/test_claims.py
+++ b/packages/core/tests/test_claims.py
@@ -6,25 +6,28 @@
 
 from sardinequay_core.claimant import ClaimRound, ClaimStatus
 from sardinequay_core.claims import (
+    ClaimDecision,
     ClaimPolicy,
     ClaimRequest,
     ClaimVote,
     Guard,
     HandoverRequest,
     Settle,
-    ClaimDecision,
 )
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.guard_duty import GuardDuty
-from sardinequay_core.view_join import ViewJoin
 from sardinequay_core.names import Address, AttemptId, DataCentre, HostId
 from sardinequay_core.outcome import Outcome
+from sardinequay_core.view_join import ViewJoin
 from sardinequay_core.views import GuardAddress, View
 
 HOME = DataCentre("home")
 NOW = seconds(1000)
 POLICY = ClaimPolicy(
-    retention=seconds(100), vote_window=seconds(2), listing_timeout=seconds(600), max_list_lag=seconds(10)
+    retention=seconds(100),
+    vote_window=seconds(2),
+    listing_timeout=seconds(600),
+    max_list_lag=seconds(10),
 )
 
 
@@ -110,7 +113,10 @@
 def test_view_with_the_same_guards_is_entered_at_once() -> None:
     guard = duty("a")
     guard.record_listed_view(view(3, "abc"), NOW)
-    assert guard.handle_claim(claim("one", view(3, "abc")), NOW).vote is ClaimDecision.GRANTED
+    assert (
+        guard.handle_claim(claim("one", view(3, "abc")), NOW).vote
+        is ClaimDecision.GRANTED
+    )
 
 
 def test_view_with_other_guards_waits_for_the_handover() -> None:
@@ -136,7 +142,10 @@
         hand_over_to(guards[name], founders, now)
         assert guards[name].enter_if_complete(now) == first
     for name in "de":
-        assert guards[name].handle_claim(claim("one", first), now).vote is ClaimDecision.GRANTED
+        assert (
+            guards[name].handle_claim(claim("one", first), now).vote
+            is ClaimDecision.GRANTED
+        )
     return guards, now
 
 
@@ -164,7 +173,10 @@
     with patch.object(ViewJoin, "add_named_views", lambda *_: None):
         hand_over_to(joiner, {name: guards[name] for name in "ab"}, now)
         joiner.enter_if_complete(now)
-    assert joiner.handle_claim(claim("two", view(2, "fgh")), now).vote is ClaimDecision.GRANTED
+    assert (
+        joiner.handle_claim(claim("two", view(2, "fgh")), now).vote
+        is ClaimDecision.GRANTED
+    )
 
 
 def test_restarted_guard_abstains_until_a_window_has_passed() -> None:
@@ -175,7 +187,9 @@
     others = {"b": b, "c": c}
     hand_over_to(a, others, NOW)
     assert a.enter_if_complete(NOW) is None
-    assert a.handle_claim(claim("two", view(1, "abc")), NOW).vote is ClaimDecision.ABSTAINS
+    assert (
+        a.handle_claim(claim("two", view(1, "abc")), NOW).vote is ClaimDecision.ABSTAINS
+    )
     now = NOW + POLICY.vote_window + seconds(0.1)
     hand_over_to(a, others, now)
     assert a.enter_if_complete(now) == view(1, "abc")
@@ -187,7 +201,10 @@
     round_.record_vote(HostId("a"), ClaimVote(ClaimDecision.GRANTED))
     round_.record_vote(HostId("b"), ClaimVote(ClaimDecision.GRANTED))
     assert round_.status(NOW + POLICY.vote_window) is ClaimStatus.WON
-    assert round_.status(NOW + POLICY.vote_window + seconds(0.1)) is ClaimStatus.UNAVAILABLE
+    assert (
+        round_.status(NOW + POLICY.vote_window + seconds(0.1))
+        is ClaimStatus.UNAVAILABLE
+    )
 
 
 def test_split_votes_win_for_nobody() -> None:
@@ -215,7 +232,9 @@
         return joiner.handle_claim(claim("one", later), now).vote
 
     early = NOW + seconds(10)
-    assert ask(NOW) is ask(early) is ask(NOW + POLICY.retention) is ClaimDecision.ABSTAINS
+    assert (
+        ask(NOW) is ask(early) is ask(NOW + POLICY.retention) is ClaimDecision.ABSTAINS
+    )
     assert ask(NOW + POLICY.retention + seconds(20)) is ClaimDecision.GRANTED
 
 
--- a/packages/core/tests/test_engine_scheduler.py
+++ b/packages/core/tests/test_engine_scheduler.py
@@ -3,7 +3,6 @@
 import pytest
 
 from sardinequay_core.clock import Instant, seconds
-from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import (
     AskReport,
     EngineStatus,
@@ -13,6 +12,7 @@
     UnloadAdapter,
     Waiter,
 )
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.names import AdapterRef, TargetId
 
 NOW = seconds(500)
@@ -65,7 +65,9 @@
 
 def test_eviction_that_waits_for_its_requests_keeps_its_place(book) -> None:
     book.add_waiter(ref("z"), waiter(later(1)))
-    book.handle_order_accepted(UnloadAdapter(ref("y")), holds_already=False, now=later(1))
+    book.handle_order_accepted(
+        UnloadAdapter(ref("y")), holds_already=False, now=later(1)
+    )
     assert not isinstance(book.next_step({}, later(1)), LoadAdapter)
     assert not book.is_ready(ref("y"))
     shown = status(ref("x"), orders=1)
@@ -83,7 +85,9 @@
 
 
 def test_report_older_than_the_last_order_says_nothing(book) -> None:
-    book.handle_order_accepted(UnloadAdapter(ref("y")), holds_already=True, now=later(1))
+    book.handle_order_accepted(
+        UnloadAdapter(ref("y")), holds_already=True, now=later(1)
+    )
     book.apply_report(status(ref("x"), ref("y"), orders=0), later(1.1), later(1.2))
     assert not book.is_ready(ref("y"))
 
--- a/packages/core/tests/test_keeper.py
+++ b/packages/core/tests/test_keeper.py
@@ -6,7 +6,6 @@
 import pytest
 
 from sardinequay_core.clock import Instant, seconds
-from sardinequay_core.keeper import Keeper
 from sardinequay_core.engine_record import (
     EngineReport,
     KeeperPolicy,
@@ -14,7 +13,8 @@
     RecallCommand,
     UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, AdapterUse
+from sardinequay_core.keeper import Keeper
+from sardinequay_core.leases import AdapterUse, HolderId
 from sardinequay_core.load_queue import RejectWaiter
 from sardinequay_core.names import AdapterRef, TargetId
 from sardinequay_core.roster import Presence, Target
@@ -118,7 +118,11 @@
 
 
 def test_new_keeper_grants_nothing_before_the_engine_took_its_token(
-    policy: KeeperPolicy, engine: Target, x_use: AdapterUse, holder: HolderId, report: Report
+    policy: KeeperPolicy,
+    engine: Target,
+    x_use: AdapterUse,
+    holder: HolderId,
+    report: Report,
 ) -> None:
     keeper = Keeper(policy, 9, START)
     keeper.set_targets([engine])
@@ -128,9 +132,9 @@
     assert order.use == x_use
     assert order.token > 5 << 40
     keeper.handle_load_done(order.use, timedelta(0), START)
-    assert [use for use, _ in keeper.handle_acquire(holder, x_use.adapter, 2, START)] == [
-        x_use
-    ]
+    assert [
+        use for use, _ in keeper.handle_acquire(holder, x_use.adapter, 2, START)
+    ] == [x_use]
 
 
 def test_new_keeper_waits_out_leases_of_the_one_before(
@@ -167,7 +171,11 @@
 
 
 def test_restarted_engine_is_cold_and_its_old_leases_still_count(
-    keeper: Keeper, x_use: AdapterUse, holder: HolderId, confirm: Confirm, report: Report
+    keeper: Keeper,
+    x_use: AdapterUse,
+    holder: HolderId,
+    confirm: Confirm,
+    report: Report,
 ) -> None:
     confirm(LATER, "x")
     keeper.handle_acquire(holder, x_use.adapter, 1, LATER)
@@ -186,7 +194,11 @@
 
 
 def test_leaving_engine_gets_no_lease_and_no_load(
-    keeper: Keeper, engine: Target, x_use: AdapterUse, holder: HolderId, confirm: Confirm
+    keeper: Keeper,
+    engine: Target,
+    x_use: AdapterUse,
+    holder: HolderId,
+    confirm: Confirm,
 ) -> None:
     confirm(LATER, "x")
     leaving = Target(
--- a/packages/core/tests/test_leases.py
+++ b/packages/core/tests/test_leases.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sardinequay_core.clock import seconds
-from sardinequay_core.leases import RETURN_HISTORY_MESSAGES, LeaseTable, AdapterUse
+from sardinequay_core.leases import RETURN_HISTORY_MESSAGES, AdapterUse, LeaseTable
 
 NOW = seconds(100)
 UNTIL = NOW + seconds(10)
@@ -16,7 +16,9 @@
     return made
 
 
-def test_dispatch_needs_a_lease_that_still_lasts(table: LeaseTable, x_use: AdapterUse) -> None:
+def test_dispatch_needs_a_lease_that_still_lasts(
+    table: LeaseTable, x_use: AdapterUse
+) -> None:
     assert table.begin_request(x_use, NOW)
     assert not table.begin_request(x_use, UNTIL)
     assert table.usable_uses(x_use.adapter, UNTIL) == []
--- a/packages/core/tests/test_load_view.py
+++ b/packages/core/tests/test_load_view.py
@@ -52,7 +52,10 @@
     view.record_dispatch(E, 7)
     view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
     view.apply_peer_shares(H2, {F: EngineShare(0, 2)}, NOW)
-    assert view.shares_excluding(H1, NOW) == {E: EngineShare(7, 0), F: EngineShare(0, 2)}
+    assert view.shares_excluding(H1, NOW) == {
+        E: EngineShare(7, 0),
+        F: EngineShare(0, 2),
+    }
     assert view.shares_excluding(H2, NOW) == {E: EngineShare(17, 1)}
     assert view.combined_shares((H1,), NOW) == {E: EngineShare(17, 1)}
 
@@ -74,7 +77,9 @@
     for number, host in enumerate(hosts):
         hub.apply_peer_shares(HostId(f"h{number}"), host.own_shares(now), now)
     for number, host in enumerate(hosts):
-        host.apply_fleet_shares(HostId("hub"), hub.shares_excluding(HostId(f"h{number}"), now), now)
+        host.apply_fleet_shares(
+            HostId("hub"), hub.shares_excluding(HostId(f"h{number}"), now), now
+        )
 
 
 @pytest.mark.parametrize("slow", [1.0, 5.0])
--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -67,7 +67,9 @@
 
 
 def test_news_is_told_a_bounded_number_of_times(membership: Membership) -> None:
-    told = [m for _ in range(UPDATE_REPEATS + 3) for m in membership.updates_to_send()[1:]]
+    told = [
+        m for _ in range(UPDATE_REPEATS + 3) for m in membership.updates_to_send()[1:]
+    ]
     assert sum(m.host_id == "a" for m in told) == UPDATE_REPEATS
 
 
--- a/packages/core/tests/test_order_lease.py
+++ b/packages/core/tests/test_order_lease.py
@@ -478,7 +478,9 @@
             ),
         )
     elif guard == "quiet":
-        monkeypatch.setattr(OrderCandidate, "can_order", lambda self, now: self.is_holder)
+        monkeypatch.setattr(
+            OrderCandidate, "can_order", lambda self, now: self.is_holder
+        )
     else:
         monkeypatch.setattr(OrderCandidate, "quorum", lambda self, now: 1)
     assert count_broken(explore, 400)
--- a/packages/core/tests/test_quarantine.py
+++ b/packages/core/tests/test_quarantine.py
@@ -78,7 +78,9 @@
     """
     quarantine.record_target_end(BESIDE, end("a", 0, incarnation=0), START)
     for late_s in (5.6, 2.9, 40.0):
-        assert not quarantine.record_target_end(BESIDE, end("a", late_s, incarnation=0), after(50))
+        assert not quarantine.record_target_end(
+            BESIDE, end("a", late_s, incarnation=0), after(50)
+        )
     assert not quarantine.remaining_hold(BESIDE, after(50))
     quarantine.record_target_end(FATAL, end("a", 5.6), after(6))
     quarantine.record_target_end(FATAL, end("a", 0), after(6))
@@ -128,7 +130,9 @@
         quarantine.record_target_end(FATAL, end(f"t{number}"), START)
     quarantine.expire_suspicions(START + POLICY.retention + seconds(1))
     assert set(quarantine.suspicions) == {FATAL}
-    quarantine.expire_suspicions(START + POLICY.long_hold + POLICY.retention + seconds(1))
+    quarantine.expire_suspicions(
+        START + POLICY.long_hold + POLICY.retention + seconds(1)
+    )
     assert not quarantine.suspicions
 
 
--- a/packages/core/tests/test_quota_ledger.py
+++ b/packages/core/tests/test_quota_ledger.py
@@ -34,7 +34,9 @@
     return made
 
 
-def told(asked: int, admitted: int, scope: DigestScope = DigestScope.HOST, **more: bool) -> ReportedUsage:
+def told(
+    asked: int, admitted: int, scope: DigestScope = DigestScope.HOST, **more: bool
+) -> ReportedUsage:
     return ReportedUsage(scope, {NAME: Usage(asked, admitted)}, LONG_UP, **more)
 
 
@@ -104,14 +106,18 @@
 
 def test_all_that_a_peer_counted_since_its_restart_is_news(book: QuotaLedger) -> None:
     book.apply_report(PEER, told(10**6, 10**6), seconds(60))
-    again = ReportedUsage(DigestScope.HOST, {NAME: Usage(2_500, 2_500)}, seconds(0.5), True)
+    again = ReportedUsage(
+        DigestScope.HOST, {NAME: Usage(2_500, 2_500)}, seconds(0.5), True
+    )
     book.apply_report(PEER, again, seconds(60.3))
     assert isinstance(ask(book, 60.3), OverQuota)
 
 
 def test_a_new_hub_is_no_news_and_the_old_one_is_forgotten(book: QuotaLedger) -> None:
     book.apply_fleet_report(HostId("a"), told(500, 500, DigestScope.FLEET), seconds(60))
-    book.apply_fleet_report(HostId("b"), told(10**7, 10**7, DigestScope.FLEET), seconds(61))
+    book.apply_fleet_report(
+        HostId("b"), told(10**7, 10**7, DigestScope.FLEET), seconds(61)
+    )
     assert list(book.usage.sources) == [HostId("b")]
     assert isinstance(ask(book, 61.0), Admitted)
 
@@ -164,7 +170,9 @@
     assert large / 100 > small / 2_000 * 0.7
 
 
-def test_request_that_says_no_tokens_counts_as_the_quota_says(book: QuotaLedger) -> None:
+def test_request_that_says_no_tokens_counts_as_the_quota_says(
+    book: QuotaLedger,
+) -> None:
     result = ask(book, 60.0, None)
     assert isinstance(result, Admitted)
     assert result.cost == 200
--- a/packages/core/tests/test_relay_decisions.py
+++ b/packages/core/tests/test_relay_decisions.py
@@ -5,7 +5,6 @@
 
 import pytest
 
-from sardinequay_core.retry_decision import AttemptEnd, AttemptCounts, RetryDecision, decide_retry
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.clock import ZERO, seconds
 from sardinequay_core.load_view import EngineShare, LoadView
@@ -19,6 +18,12 @@
 )
 from sardinequay_core.repeat_budget import RepeatBudget, RepeatPolicy
 from sardinequay_core.residency import AdapterUses, HeldAdapters, Residency
+from sardinequay_core.retry_decision import (
+    AttemptCounts,
+    AttemptEnd,
+    RetryDecision,
+    decide_retry,
+)
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_core.service_choice import ServiceOption, select_target
 from sardinequay_core.serving import Repetition
@@ -32,13 +37,21 @@
     [
         (Repetition.ONCE, [AttemptEnd.NOT_SENT], RetryDecision.RETRY),
         (Repetition.ONCE, [AttemptEnd.REJECTED], RetryDecision.RETRY),
-        (Repetition.ONCE, [AttemptEnd.MAY_HAVE_RUN], RetryDecision.GIVE_UP_MAY_HAVE_RUN),
+        (
+            Repetition.ONCE,
+            [AttemptEnd.MAY_HAVE_RUN],
+            RetryDecision.GIVE_UP_MAY_HAVE_RUN,
+        ),
         (
             Repetition.ONCE,
             [AttemptEnd.REJECTED, AttemptEnd.MAY_HAVE_RUN],
             RetryDecision.GIVE_UP_MAY_HAVE_RUN,
         ),
-        (Repetition.STREAM, [AttemptEnd.BROKEN_OFF], RetryDecision.GIVE_UP_MAY_HAVE_RUN),
+        (
+            Repetition.STREAM,
+            [AttemptEnd.BROKEN_OFF],
+            RetryDecision.GIVE_UP_MAY_HAVE_RUN,
+        ),
         (Repetition.IDEMPOTENT, [AttemptEnd.MAY_HAVE_RUN], RetryDecision.RETRY),
         (
             Repetition.IDEMPOTENT,
@@ -100,7 +113,12 @@
 
 
 def service(name: str, in_flight: int = 0, **more) -> ServiceOption:
-    fields = {"is_local": True, "is_full": False, "was_tried": False, "tie_breaker": 0.0}
+    fields = {
+        "is_local": True,
+        "is_full": False,
+        "was_tried": False,
+        "tie_breaker": 0.0,
+    }
     return ServiceOption(TargetId(name), in_flight, 6, **fields | more)
 
 
@@ -162,12 +180,18 @@
 def test_what_an_engine_held_before_it_started_again_is_void(published) -> None:
     residency = Residency()
     a = AdapterRef("m/a", "1")
-    assert residency.apply_update(E, HeldAdapters(10, 9, frozenset({a}), incarnation=1_000))
+    assert residency.apply_update(
+        E, HeldAdapters(10, 9, frozenset({a}), incarnation=1_000)
+    )
     anew = replace(published, incarnation=2_000, adapters=frozenset())
     assert residency.resident_adapter(anew, a) is None
-    assert residency.apply_update(E, HeldAdapters(10, 0, frozenset({a}), incarnation=2_000))
+    assert residency.apply_update(
+        E, HeldAdapters(10, 0, frozenset({a}), incarnation=2_000)
+    )
     assert residency.resident_adapter(anew, a) == a
-    assert not residency.apply_update(E, HeldAdapters(11, 99, frozenset(), incarnation=1_000))
+    assert not residency.apply_update(
+        E, HeldAdapters(11, 99, frozenset(), incarnation=1_000)
+    )
 
 
 def test_uses_of_an_engine_that_started_again_are_void() -> None:
--- a/packages/core/tests/test_serving.py
+++ b/packages/core/tests/test_serving.py
@@ -9,10 +9,10 @@
 from sardinequay_core.serving import (
     CallerLimits,
     EnginePool,
+    PoolShare,
     Repetition,
     Route,
     ServedModel,
-    PoolShare,
     make_serving_config,
 )
 
--- a/packages/core/tests/test_shared_outcomes.py
+++ b/packages/core/tests/test_shared_outcomes.py
@@ -5,7 +5,7 @@
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import HostId, TargetId
 from sardinequay_core.shared_outcomes import HALF_LIFE, Outcomes, OutcomeTally
-from sardinequay_core.target_health import TargetHealth, AttemptResult
+from sardinequay_core.target_health import AttemptResult, TargetHealth
 
 NOW = seconds(100)
 T = TargetId("t")
--- a/packages/core/tests/test_target_choice.py
+++ b/packages/core/tests/test_target_choice.py
@@ -6,12 +6,12 @@
 
 from sardinequay_core.names import TargetId
 from sardinequay_core.target_choice import (
-    EngineOption,
     AdapterState,
+    EngineOption,
+    EnginesTooBusy,
     LoadOnEngine,
     NoEngine,
     SendToEngine,
-    EnginesTooBusy,
     select_engine,
 )
 
@@ -38,12 +38,16 @@
 
 def test_very_long_queue_is() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 2.6)]
-    assert select_engine(options, 4.0) == LoadOnEngine(TargetId("a"), pytest.approx(0.4))
+    assert select_engine(options, 4.0) == LoadOnEngine(
+        TargetId("a"), pytest.approx(0.4)
+    )
 
 
 def test_what_a_copy_counts_for_refuses_nobody() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 1.9)]
-    assert select_engine(options, 1.0) == LoadOnEngine(TargetId("a"), pytest.approx(0.4))
+    assert select_engine(options, 1.0) == LoadOnEngine(
+        TargetId("a"), pytest.approx(0.4)
+    )
 
 
 def test_engine_that_begins_in_time_goes_before_one_that_had_the_adapter() -> None:
@@ -77,7 +81,10 @@
 
 
 def test_what_the_keeper_said_goes_before_estimates() -> None:
-    options = [option("a", keeper_estimate_s=5.0, free_places=2), option("b", first_s=0.4)]
+    options = [
+        option("a", keeper_estimate_s=5.0, free_places=2),
+        option("b", first_s=0.4),
+    ]
     assert select_engine(options, 2.0).target == "b"
 
 
--- a/packages/core/tests/test_target_health.py
+++ b/packages/core/tests/test_target_health.py
@@ -4,7 +4,7 @@
 
 from sardinequay_core.clock import seconds
 from sardinequay_core.names import TargetId
-from sardinequay_core.target_health import TargetHealth, AttemptResult
+from sardinequay_core.target_health import AttemptResult, TargetHealth
 
 A, B, C = (TargetId(t) for t in "abc")
 NOW = seconds(50)
@@ -28,18 +28,29 @@
 
 def test_pauses_double_while_trials_fail(health) -> None:
     health.record_result(A, AttemptResult.UNREACHABLE, NOW, NOW)
-    health.record_result(A, AttemptResult.FAILED, NOW + seconds(0.6), NOW + seconds(0.6))
+    health.record_result(
+        A, AttemptResult.FAILED, NOW + seconds(0.6), NOW + seconds(0.6)
+    )
     assert not health.is_usable(A, NOW + seconds(1.5))
     assert health.is_usable(A, NOW + seconds(1.7))
 
 
 def test_part_of_the_requests_failing_leaves_a_target_out(health) -> None:
-    ends = [AttemptResult.SUCCEEDED, AttemptResult.FAILED, AttemptResult.FAILED, AttemptResult.FAILED]
+    ends = [
+        AttemptResult.SUCCEEDED,
+        AttemptResult.FAILED,
+        AttemptResult.FAILED,
+        AttemptResult.FAILED,
+    ]
     assert any(health.record_result(A, end, NOW, NOW) for end in ends)
 
 
 def test_one_failure_among_many_does_not(health) -> None:
-    ends = [AttemptResult.SUCCEEDED] * 6 + [AttemptResult.FAILED] + [AttemptResult.SUCCEEDED] * 3
+    ends = (
+        [AttemptResult.SUCCEEDED] * 6
+        + [AttemptResult.FAILED]
+        + [AttemptResult.SUCCEEDED] * 3
+    )
     assert not any(health.record_result(A, end, NOW, NOW) for end in ends)
 
 
@@ -59,8 +70,13 @@
 def test_silence_counts_unless_the_target_answered_others_meanwhile(health) -> None:
     for _ in range(5):
         health.record_result(A, AttemptResult.SUCCEEDED, NOW, NOW + seconds(0.2))
-        assert not health.record_result(A, AttemptResult.TIMED_OUT, NOW, NOW + seconds(0.4))
-    ends = [health.record_result(B, AttemptResult.TIMED_OUT, NOW, NOW + seconds(0.4)) for _ in range(8)]
+        assert not health.record_result(
+            A, AttemptResult.TIMED_OUT, NOW, NOW + seconds(0.4)
+        )
+    ends = [
+        health.record_result(B, AttemptResult.TIMED_OUT, NOW, NOW + seconds(0.4))
+        for _ in range(8)
+    ]
     assert not any(ends[:3])
     assert any(ends)
 
--- a/packages/core/tests/test_usage_view.py
+++ b/packages/core/tests/test_usage_view.py
@@ -7,7 +7,7 @@
 from sardinequay_core.fleet_topology import DigestScope
 from sardinequay_core.names import HostId
 from sardinequay_core.organisations import OrganisationName
-from sardinequay_core.usage_view import UsageCounts, ReportedUsage, Usage, UsageView
+from sardinequay_core.usage_view import ReportedUsage, Usage, UsageCounts, UsageView
 
 NAME = OrganisationName("north")
 A, B, C, FAR = (HostId(name) for name in ("a", "b", "c", "far"))
@@ -79,11 +79,15 @@
         now += seconds(0.1)
         hosts[host].record_usage(NAME, Usage(cost, cost), now)
         tell(hub, host, DigestScope.HOST, hosts[host].own_counts(now), now)
-        told = ReportedUsage(DigestScope.FLEET, hub.counts_excluding(host, now), seconds(0))
+        told = ReportedUsage(
+            DigestScope.FLEET, hub.counts_excluding(host, now), seconds(0)
+        )
         gains = hosts[host].apply_report(HostId("hub"), told, now)
         known[host] += sum(gain.usage.admitted for gain in gains)
     for host in hosts:
-        told = ReportedUsage(DigestScope.FLEET, hub.counts_excluding(host, now), seconds(0))
+        told = ReportedUsage(
+            DigestScope.FLEET, hub.counts_excluding(host, now), seconds(0)
+        )
         gains = hosts[host].apply_report(HostId("hub"), told, now)
         known[host] += sum(gain.usage.admitted for gain in gains)
     total = sum(cost for _, cost in steps)
@@ -100,12 +104,18 @@
     # brought the count of the whole hour, and the organisation was refused for seconds.
     view, quiet = UsageView(), OrganisationName("quiet")
     up = seconds(3600)
-    view.apply_report(A, ReportedUsage(DigestScope.HOST, {NAME: Usage(5, 5)}, up), seconds(10))
+    view.apply_report(
+        A, ReportedUsage(DigestScope.HOST, {NAME: Usage(5, 5)}, up), seconds(10)
+    )
     later = {NAME: Usage(5, 5), quiet: Usage(10**6, 10**6)}
-    gains = view.apply_report(A, ReportedUsage(DigestScope.HOST, later, up), seconds(11))
+    gains = view.apply_report(
+        A, ReportedUsage(DigestScope.HOST, later, up), seconds(11)
+    )
     assert sum(gain.usage.admitted for gain in gains) == 0
     later[quiet] = Usage(10**6 + 7, 10**6 + 7)
-    gains = view.apply_report(A, ReportedUsage(DigestScope.HOST, later, up), seconds(11.3))
+    gains = view.apply_report(
+        A, ReportedUsage(DigestScope.HOST, later, up), seconds(11.3)
+    )
     assert sum(gain.usage.admitted for gain in gains) == 7
 
 
@@ -123,7 +133,9 @@
     up = seconds(60)
     first = hub.counts_excluding(A, seconds(60), also=(NAME, quiet))
     assert first == {NAME: Usage(9, 9), quiet: Usage()}
-    host.apply_report(HostId("hub"), ReportedUsage(DigestScope.FLEET, first, up), seconds(60))
+    host.apply_report(
+        HostId("hub"), ReportedUsage(DigestScope.FLEET, first, up), seconds(60)
+    )
     hub.record_usage(quiet, Usage(5, 5), seconds(60.1))
     told = ReportedUsage(DigestScope.FLEET, hub.counts_excluding(A, seconds(60.3)), up)
     gains = host.apply_report(HostId("hub"), told, seconds(60.3))
@@ -132,7 +144,9 @@
 
 def test_first_count_of_an_organisation_that_came_later_is_news() -> None:
     view, new, up = UsageView(), OrganisationName("new"), seconds(3600)
-    view.apply_report(A, ReportedUsage(DigestScope.HOST, {NAME: Usage(5, 5)}, up), seconds(10))
+    view.apply_report(
+        A, ReportedUsage(DigestScope.HOST, {NAME: Usage(5, 5)}, up), seconds(10)
+    )
     view.added_at[new] = seconds(20)
     told = ReportedUsage(DigestScope.HOST, {new: Usage(8, 8)}, up)
     gains = view.apply_report(A, told, seconds(21))
@@ -142,8 +156,14 @@
 def test_what_a_cut_held_up_is_no_restart() -> None:
     # A digest of half a second ago came after a later one, once a cut was healed.
     view = UsageView()
-    view.apply_report(A, ReportedUsage(DigestScope.HOST, {NAME: Usage(900, 900)}, seconds(50)), seconds(10))
-    late = ReportedUsage(DigestScope.HOST, {NAME: Usage(800, 800)}, seconds(49.5), has_restarted=True)
+    view.apply_report(
+        A,
+        ReportedUsage(DigestScope.HOST, {NAME: Usage(900, 900)}, seconds(50)),
+        seconds(10),
+    )
+    late = ReportedUsage(
+        DigestScope.HOST, {NAME: Usage(800, 800)}, seconds(49.5), has_restarted=True
+    )
     gains = view.apply_report(A, late, seconds(10))
     told = ReportedUsage(DigestScope.HOST, {NAME: Usage(910, 910)}, seconds(50.2))
     gains += view.apply_report(A, told, seconds(10.2))
--- a/packages/core/tests/test_views.py
+++ b/packages/core/tests/test_views.py
@@ -4,7 +4,12 @@
 
 from sardinequay_core.names import Address, DataCentre, HostId
 from sardinequay_core.roster import EntryHost, Presence, Roster
-from sardinequay_core.views import GUARDS_PER_DATA_CENTRE, MIN_GUARDS, home_data_centre, build_view
+from sardinequay_core.views import (
+    GUARDS_PER_DATA_CENTRE,
+    MIN_GUARDS,
+    build_view,
+    home_data_centre,
+)
 
 A, B = DataCentre("a"), DataCentre("b")
 
@@ -21,7 +26,13 @@
 
 @pytest.mark.parametrize(
     ("local", "remote", "guards"),
-    [(8, 2, GUARDS_PER_DATA_CENTRE), (3, 2, 3), (2, 2, MIN_GUARDS), (1, 1, 2), (0, 5, MIN_GUARDS)],
+    [
+        (8, 2, GUARDS_PER_DATA_CENTRE),
+        (3, 2, 3),
+        (2, 2, MIN_GUARDS),
+        (1, 1, 2),
+        (0, 5, MIN_GUARDS),
+    ],
 )
 def test_small_data_centres_borrow_guards(local: int, remote: int, guards: int) -> None:
     assert len(build_view(roster({A: local, B: remote}), A).guards) == guards
--- a/packages/daemon/src/sardinequay_daemon/answers.py
+++ b/packages/daemon/src/sardinequay_daemon/answers.py
@@ -82,7 +82,9 @@
             text = choice.get("text") or delta.get("content") or ""
             self.texts.setdefault(index, []).append(text)
             merged = self.choices.setdefault(index, {"index": index})
-            merged.update({k: v for k, v in choice.items() if k not in ("text", "delta")})
+            merged.update(
+                {k: v for k, v in choice.items() if k not in ("text", "delta")}
+            )
             merged.setdefault("is_chat", "delta" in choice)
 
     def body(self) -> bytes:
--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -6,22 +6,22 @@
 
 import aiohttp
 
-from sardinequay_core.retry_decision import AttemptEnd
 from sardinequay_core.catalogue import PublishedTarget
 from sardinequay_core.clock import Clock, seconds
 from sardinequay_core.names import AdapterRef
+from sardinequay_core.retry_decision import AttemptEnd
 from sardinequay_core.target_health import AttemptResult
 
 from .errors import TargetError, TargetFault
-from .exchange import AnswerHead, RelayExchange, AnswerSink
+from .exchange import AnswerHead, AnswerSink, RelayExchange
+from .load_requests import LoadRequestClient
 from .relay_state import RelayState
 from .server_sent_events import EventSplitter
 from .serving_metrics import ServingMetrics
 from .serving_ports import AnswerFacts, HttpDialect, SendTerms
 from .target_errors import TargetErrorTranslator
 from .tracing import Tracing
-from .upstream import MAX_BUFFERED_BYTES, UpstreamRequest, Upstream
-from .load_requests import LoadRequestClient
+from .upstream import MAX_BUFFERED_BYTES, Upstream, UpstreamRequest
 
 HEAD_TIMEOUT_GOALS = 2.0
 """Goals that an idempotent request waits on one target before another is tried."""
@@ -150,7 +150,9 @@
             exchange.last_event,
             exchange.organisation.name if exchange.organisation else "",
         )
-        headers = self.parts.dialect.target_headers(exchange.headers, exchange.terms, terms)
+        headers = self.parts.dialect.target_headers(
+            exchange.headers, exchange.terms, terms
+        )
         headers.update(self.trace_headers)
         return UpstreamRequest(
             exchange.method,
@@ -276,13 +278,17 @@
             self.record_verdict(AttemptResult.SUCCEEDED)
         return None
 
-    async def forward_head(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
+    async def forward_head(
+        self, answer: aiohttp.ClientResponse, sink: AnswerSink
+    ) -> None:
         """Send the answer's head on, if none was."""
         if not self.exchange.answer_started:
             self.exchange.answer_started = True
             await sink.begin_answer(AnswerHead(answer.status, answer))
 
-    async def forward_body(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
+    async def forward_body(
+        self, answer: aiohttp.ClientResponse, sink: AnswerSink
+    ) -> None:
         """Pass a plain answer on: in one piece if it is small, else as it comes.
 
         The caller gets nothing of an answer that breaks off while it is small, so that
@@ -301,7 +307,9 @@
         await self.forward_head(answer, sink)
         await sink.write_body(b"".join(chunks))
 
-    async def forward_stream(self, answer: aiohttp.ClientResponse, sink: AnswerSink) -> None:
+    async def forward_stream(
+        self, answer: aiohttp.ClientResponse, sink: AnswerSink
+    ) -> None:
         """Pass a stream on, event by event."""
         exchange = self.exchange
         splitter = EventSplitter()
@@ -323,7 +331,9 @@
     def record_read_pace(self) -> None:
         """Learn how fast the engine reads from when its first event came."""
         now = self.clock.monotonic()
-        self.state.loads.record_pace(self.target_id, self.typical_s, self.elapsed_s(), now)
+        self.state.loads.record_pace(
+            self.target_id, self.typical_s, self.elapsed_s(), now
+        )
 
 
 class AnswerBody:
--- a/packages/daemon/src/sardinequay_daemon/bounded_log.py
+++ b/packages/daemon/src/sardinequay_daemon/bounded_log.py
@@ -96,11 +96,15 @@
             self.pending_lines.popleft()
 
 
-def configure_bounded_logging(clock: Clock, host_id: str, level: str = "INFO") -> NonBlockingLogHandler:
+def configure_bounded_logging(
+    clock: Clock, host_id: str, level: str = "INFO"
+) -> NonBlockingLogHandler:
     """Send all logs to standard output as JSON, each line naming this host."""
     handler = NonBlockingLogHandler(clock, sys.stdout.fileno())
     handler.setFormatter(
-        JsonFormatter(FIELDS, rename_fields=RENAMED_FIELDS, static_fields={"host": host_id})
+        JsonFormatter(
+            FIELDS, rename_fields=RENAMED_FIELDS, static_fields={"host": host_id}
+        )
     )
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/packages/daemon/src/sardinequay_daemon/caller_admission.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_admission.py
@@ -69,7 +69,9 @@
             raise RequestRefusedError(self.unknown_key_refusal(config, terms))
         return found
 
-    def unknown_key_refusal(self, config: ServingConfig, terms: RequestTerms) -> Refusal:
+    def unknown_key_refusal(
+        self, config: ServingConfig, terms: RequestTerms
+    ) -> Refusal:
         """Return the refusal of a request without a key in force."""
         age_s = self.store_age_s()
         if terms.key is not None and age_s > STALE_STORE_AGE_S:
@@ -108,11 +110,15 @@
         )
         if over.retry_after is None:
             return not_run_refusal(Reason.OVER_QUOTA, f"{text}, more than ever fits")
-        return not_run_refusal(Reason.OVER_QUOTA, text, self.jittered_wait(over.retry_after))
+        return not_run_refusal(
+            Reason.OVER_QUOTA, text, self.jittered_wait(over.retry_after)
+        )
 
     def jittered_wait(self, wait: timedelta) -> timedelta:
         """Return when to come back, so that callers do not come together."""
-        return max(MIN_RETRY_AFTER, wait * (1 + RETRY_JITTER * self.state.random.random()))
+        return max(
+            MIN_RETRY_AFTER, wait * (1 + RETRY_JITTER * self.state.random.random())
+        )
 
     def refund(self, admitted: Admitted) -> None:
         """Take back what was counted for a request that did not run."""
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -61,7 +61,9 @@
     stream: bool
 
 
-def make_guarded_run(envelope: RequestEnvelope, method: str, path: str, body: bytes) -> GuardedRun:
+def make_guarded_run(
+    envelope: RequestEnvelope, method: str, path: str, body: bytes
+) -> GuardedRun:
     """Return a request as far as it concerns whether its content may run."""
     content = content_id(method, "", path, envelope.caller.name, body)
     return GuardedRun(envelope.request_id, content)
@@ -92,7 +94,9 @@
         return Failure(not_run_refusal(Reason.UNAUTHENTICATED, "no known bearer token"))
     key = headers.get(KEY_HEADER, "")
     if KEY_HEADER in headers and not PRINTABLE.fullmatch(key):
-        return Failure(bad_header_refusal(KEY_HEADER, key, "1 to 200 printable characters"))
+        return Failure(
+            bad_header_refusal(KEY_HEADER, key, "1 to 200 printable characters")
+        )
     wait = read_deadline(headers, limits)
     if not isinstance(wait, Success):
         return Failure(wait.failure())
@@ -126,7 +130,9 @@
         allowed = f"seconds from now, at most {limits.longest_request_s}"
         return Failure(bad_header_refusal(DEADLINE_HEADER, raw_value, allowed))
     if value_s <= 0:
-        return Failure(not_run_refusal(Reason.DEADLINE_EXPIRED, "the deadline has passed"))
+        return Failure(
+            not_run_refusal(Reason.DEADLINE_EXPIRED, "the deadline has passed")
+        )
     return Success(timedelta(seconds=value_s))
 
 
@@ -148,7 +154,9 @@
     try:
         fields: Any = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        return Failure(not_run_refusal(Reason.MALFORMED, f"the body is no JSON: {error}"))
+        return Failure(
+            not_run_refusal(Reason.MALFORMED, f"the body is no JSON: {error}")
+        )
     model = fields.get("model") if isinstance(fields, dict) else None
     if not isinstance(model, str):
         return Failure(not_run_refusal(Reason.MALFORMED, "the body names no model"))
@@ -157,7 +165,9 @@
         return Failure(not_run_refusal(Reason.MALFORMED, str(ref.failure())))
     stream = fields.get("stream", False)
     if not isinstance(stream, bool):
-        return Failure(not_run_refusal(Reason.MALFORMED, "stream is neither true nor false"))
+        return Failure(
+            not_run_refusal(Reason.MALFORMED, "stream is neither true nor false")
+        )
     return find_offered_pool(envelope, ref.unwrap()).bind(
         lambda pool: Success(
             ModelRequest(envelope, path, body, ref.unwrap(), pool, stream)
@@ -165,7 +175,9 @@
     )
 
 
-def find_offered_pool(envelope: RequestEnvelope, ref: AdapterRef) -> Result[PoolSettings, Refusal]:
+def find_offered_pool(
+    envelope: RequestEnvelope, ref: AdapterRef
+) -> Result[PoolSettings, Refusal]:
     """Return the pool of an adapter version, if it is offered to the caller."""
     bundle = envelope.bundle
     adapter = bundle.find_adapter(ref.name)
--- a/packages/daemon/src/sardinequay_daemon/caller_server.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_server.py
@@ -28,8 +28,8 @@
     refusal_response,
 )
 from .caller_requests import (
-    RequestEnvelope,
     ModelRequest,
+    RequestEnvelope,
     new_request_id,
     read_envelope,
     read_model_request,
@@ -37,7 +37,12 @@
 from .dispatch import ModelDispatcher
 from .journal import Journal
 from .metrics import Metrics
-from .progress import Progress, RequestRefusedError, deadline_refusal, with_proven_outcome
+from .progress import (
+    Progress,
+    RequestRefusedError,
+    deadline_refusal,
+    with_proven_outcome,
+)
 from .services import ServiceForwarder, ServiceRequest, end_to_end_headers
 from .settings import LimitSettings
 from .tracing import Tracing, trace_id
@@ -153,7 +158,9 @@
         envelope = read.unwrap()
         if not self.admission.try_enter(envelope.priority):
             text = "this host is full; requests of higher priority go first"
-            raise RequestRefusedError(not_run_refusal(Reason.OVERLOADED, text, OVERLOAD_RETRY_AFTER))
+            raise RequestRefusedError(
+                not_run_refusal(Reason.OVERLOADED, text, OVERLOAD_RETRY_AFTER)
+            )
         self.update_idle_event()
         try:
             return await self.run_within_deadline(exchange, envelope)
@@ -179,7 +186,9 @@
         except TimeoutError as error:
             raise RequestRefusedError(deadline_refusal(exchange.progress)) from error
 
-    async def route_request(self, exchange: CallerExchange, envelope: RequestEnvelope) -> web.StreamResponse:
+    async def route_request(
+        self, exchange: CallerExchange, envelope: RequestEnvelope
+    ) -> web.StreamResponse:
         """Run one request by what its path means."""
         http = exchange.http
         if http.path == MODELS_PATH and http.method == "GET":
@@ -236,7 +245,9 @@
         """Run a model request, streamed or in one piece."""
         headers = self.answer_headers(request.envelope)
         headers[ADAPTER_HEADER] = str(request.adapter)
-        events = self.dispatcher.stream_events(request, exchange.progress, exchange.span)
+        events = self.dispatcher.stream_events(
+            request, exchange.progress, exchange.span
+        )
         async with aclosing(events) as parts:
             if request.stream:
                 headers["Content-Type"] = "text/event-stream"
@@ -306,7 +317,9 @@
             raise CallerGoneError from error
         return exchange.response
 
-    async def refuse(self, exchange: CallerExchange, refusal: Refusal) -> web.StreamResponse:
+    async def refuse(
+        self, exchange: CallerExchange, refusal: Refusal
+    ) -> web.StreamResponse:
         """Give a request its final answer at once."""
         self.metrics.requests.inc({"outcome": refusal.outcome.value})
         self.metrics.refusals.inc({"reason": refusal.reason.value})
@@ -323,7 +336,9 @@
             return refusal_response(refusal, exchange.request_id)
         return await self.abort_answer(exchange, refusal)
 
-    async def abort_answer(self, exchange: CallerExchange, refusal: Refusal) -> web.StreamResponse:
+    async def abort_answer(
+        self, exchange: CallerExchange, refusal: Refusal
+    ) -> web.StreamResponse:
         """End an answer that had begun, so that nobody takes it for a whole one."""
         response = exchange.response
         assert response is not None
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -16,7 +16,7 @@
 from sardinequay_core.names import AttemptId, DataCentre
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
-from sardinequay_core.views import GuardAddress, View, home_data_centre, build_view
+from sardinequay_core.views import GuardAddress, View, build_view, home_data_centre
 
 from .caller_requests import RequestEnvelope
 from .journal import Journal
@@ -84,7 +84,9 @@
             if won is not None:
                 self.settle_claim(won, Outcome.RAN if ran else progress.outcome)
 
-    async def claim_request_key(self, envelope: RequestEnvelope, parent: Span) -> WonClaim | None:
+    async def claim_request_key(
+        self, envelope: RequestEnvelope, parent: Span
+    ) -> WonClaim | None:
         """Claim a request's key; one without a key may be repeated and holds none."""
         if not envelope.key:
             return None
@@ -107,7 +109,9 @@
         caller_key = f"{caller}/{key}"
         round_deadline = min(deadline, self.clock.monotonic() + self.policy.vote_window)
         while True:
-            round_ = await self.request_votes(self.latest_view(home), caller_key, attempt)
+            round_ = await self.request_votes(
+                self.latest_view(home), caller_key, attempt
+            )
             standing = round_.status(self.clock.monotonic())
             self.record_later_view(round_)
             if standing is ClaimStatus.WON:
@@ -125,7 +129,9 @@
         if later is not None:
             self.learned_views[later.data_centre] = later
 
-    async def request_votes(self, view: View, key: str, attempt: AttemptId) -> ClaimRound:
+    async def request_votes(
+        self, view: View, key: str, attempt: AttemptId
+    ) -> ClaimRound:
         """Ask all guards at once, and stop when the votes decide."""
         round_ = ClaimRound(view, key, attempt, self.clock.monotonic(), self.policy)
         if not view.guards:
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -29,11 +29,11 @@
     PermitBack,
     PermitReply,
 )
-from .content_updates import content_update, apply_content_update
-from .target_end_detector import InterruptedRequest, TargetEndDetector
+from .content_updates import apply_content_update, content_update
 from .guarded_run import GuardedRun
 from .peers import PeerClient
 from .progress import RequestRefusedError, answer_lost_refusal
+from .target_end_detector import InterruptedRequest, TargetEndDetector
 
 PERMIT_CALL_TIMEOUT_S = 0.25
 """Bound on asking for a permit; hosts of a region answer in a few milliseconds."""
@@ -189,7 +189,9 @@
 
     def apply_catalogue(self, catalogue: Catalogue) -> None:
         """Count ends of targets that show by their later starts."""
-        for interrupted in self.end_detector.find_restarted(catalogue, self.clock.monotonic()):
+        for interrupted in self.end_detector.find_restarted(
+            catalogue, self.clock.monotonic()
+        ):
             self.record_target_end(interrupted)
 
     def record_target_end(self, interrupted: InterruptedRequest) -> None:
@@ -247,9 +249,9 @@
         self.apply_update(request.news)
         content = request.news.content
         now = self.clock.monotonic()
-        is_granted = not self.quarantine.remaining_hold(content, now) and self.permits.grant(
-            content, request.run, now
-        )
+        is_granted = not self.quarantine.remaining_hold(
+            content, now
+        ) and self.permits.grant(content, request.run, now)
         return PermitReply(is_granted, content_update(self.quarantine, content, now))
 
     async def return_permit(self, run: GuardedRun) -> None:
@@ -297,7 +299,10 @@
     def held_contents(self) -> list[HeldContent]:
         """Return the contents that are held."""
         now = self.clock.monotonic()
-        return [self.describe_held_content(c, now) for c in self.quarantine.held_contents(now)]
+        return [
+            self.describe_held_content(c, now)
+            for c in self.quarantine.held_contents(now)
+        ]
 
     def describe_held_content(self, content: ContentId, now: Instant) -> HeldContent:
         """Return one content that is held."""
--- a/packages/daemon/src/sardinequay_daemon/content_updates.py
+++ b/packages/daemon/src/sardinequay_daemon/content_updates.py
@@ -15,7 +15,9 @@
     return round((now - at).total_seconds(), 3)
 
 
-def content_update(quarantine: Quarantine, content: ContentId, now: Instant) -> ContentNews:
+def content_update(
+    quarantine: Quarantine, content: ContentId, now: Instant
+) -> ContentNews:
     """Return what this host knows against a content."""
     known = quarantine.suspicions.get(content)
     if known is None:
@@ -27,11 +29,15 @@
     )
 
 
-def apply_content_update(quarantine: Quarantine, news: ContentNews, now: Instant) -> bool:
+def apply_content_update(
+    quarantine: Quarantine, news: ContentNews, now: Instant
+) -> bool:
     """Take what a peer knows against a content; return whether anything is new."""
     is_new = False
     if news.cleared_s is not None:
-        is_new = quarantine.clear_content(news.content, now - seconds(news.cleared_s), now)
+        is_new = quarantine.clear_content(
+            news.content, now - seconds(news.cleared_s), now
+        )
     for seen in news.ends:
         end = TargetEnd(seen.target, seen.incarnation, now - seconds(seen.age_s))
         is_new = quarantine.record_target_end(news.content, end, now) or is_new
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -114,7 +114,9 @@
             ),
             outcomes=self.state.health.tally.outcomes_to_report(now),
             usage=self.unsent_usage(host_id, DigestScope.HOST),
-            demand=NO_DEMAND if self.fleet.is_mesh else self.state.demand.own_demand(now),
+            demand=NO_DEMAND
+            if self.fleet.is_mesh
+            else self.state.demand.own_demand(now),
         )
 
     def add_data_centre_part(self, digest: Digest, peer: Peer) -> Digest:
@@ -138,7 +140,10 @@
         """Add the part of all others, for a host of this data centre."""
         now = self.clock.monotonic()
         others = self.state.loads.peers.keys() - {host_id}
-        known = (*self.orders.recent_holdings(), *self.orders.peer_holdings_snapshot(now))
+        known = (
+            *self.orders.recent_holdings(),
+            *self.orders.peer_holdings_snapshot(now),
+        )
         return replace(
             digest,
             shares=self.state.loads.shares_excluding(host_id, now),
@@ -147,7 +152,9 @@
             usage=self.unsent_usage(host_id, DigestScope.FLEET),
             demand=self.demand_for_copies(others, now),
             live_hosts=self.fleet.live_hosts,
-            notes=HubNotes(self.unsent_members(host_id), self.fleet.neighbour_records()),
+            notes=HubNotes(
+                self.unsent_members(host_id), self.fleet.neighbour_records()
+            ),
         )
 
     def demand_for_copies(self, hosts: Iterable[HostId], now: Instant) -> Demand:
@@ -197,7 +204,9 @@
         changed = quarantine.changed_since(first, MAX_CONTENTS_PER_DIGEST)
         if not changed:
             return ()
-        self.sent_content_numbers[host_id] = quarantine.suspicions[changed[-1]].change_number
+        self.sent_content_numbers[host_id] = quarantine.suspicions[
+            changed[-1]
+        ].change_number
         now = self.clock.monotonic()
         return tuple(content_update(quarantine, content, now) for content in changed)
 
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -27,11 +27,11 @@
 from .errors import TargetError, TargetFault
 from .guarded_run import GuardedRun
 from .journal import Journal
-from .use_lease_task import UseLeaseTask
 from .metrics import Metrics
 from .progress import Progress, RequestRefusedError, deadline_refusal
 from .server_sent_events import EventBatch
 from .tracing import Tracing
+from .use_lease_task import UseLeaseTask
 
 MAX_RESUMES = 3
 RESUME_PAUSE_S = 0.05
@@ -159,7 +159,9 @@
             progress.begin_attempt()
             began = self.leases.clock.monotonic()
             try:
-                async with aclosing(self.run_on_engine(use, request, progress, span)) as event_batches:
+                async with aclosing(
+                    self.run_on_engine(use, request, progress, span)
+                ) as event_batches:
                     async for event_batch in event_batches:
                         yield event_batch
                 return
@@ -204,10 +206,16 @@
                 attempt=progress.attempts,
             )
             run = EngineRun(
-                self.engines, address, request_id, request, self.tracing.propagation_headers(span)
+                self.engines,
+                address,
+                request_id,
+                request,
+                self.tracing.propagation_headers(span),
             )
             try:
-                async with aclosing(self.events_with_resume(run, progress)) as event_batches:
+                async with aclosing(
+                    self.events_with_resume(run, progress)
+                ) as event_batches:
                     async for event_batch in event_batches:
                         yield event_batch
                 finished = True
@@ -303,4 +311,6 @@
     reason = Reason.TARGET_REFUSED
     if error.fault is TargetFault.NOT_SENT:
         reason = Reason.TARGET_UNREACHABLE
-    return not_run_refusal(reason, f"no engine took the request: {error}", TARGET_RETRY_AFTER)
+    return not_run_refusal(
+        reason, f"no engine took the request: {error}", TARGET_RETRY_AFTER
+    )
--- a/packages/daemon/src/sardinequay_daemon/engine_client.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -20,7 +20,7 @@
 from sardinequay_core.roster import Target, TargetKind
 
 from .errors import TargetError, TargetFault
-from .server_sent_events import EventSplitter, EventBatch
+from .server_sent_events import EventBatch, EventSplitter
 from .target_errors import TargetErrorTranslator
 from .target_probe import ProbeResult
 
@@ -188,7 +188,9 @@
         """Have a request ended whose caller is gone; best effort."""
         url = f"http://{address}/v1/requests/{request_id}"
         try:
-            async with self.session.delete(url, timeout=self.report_timeout) as response:
+            async with self.session.delete(
+                url, timeout=self.report_timeout
+            ) as response:
                 await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return
@@ -200,7 +202,9 @@
     def __init__(self, engines: EngineClient) -> None:
         self.engines = engines
 
-    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(
+        self, target: Target, incarnation: int, health_path: str
+    ) -> ProbeResult:
         """Return what a target shows; its starts are not told apart here."""
         if target.kind is not TargetKind.ENGINE:
             return ProbeResult.HEALTHY
@@ -209,10 +213,16 @@
                 report = await self.engines.report(target)
         except TimeoutError:
             return ProbeResult.NO_ANSWER
-        return ProbeResult.HEALTHY if isinstance(report, Success) else ProbeResult.UNHEALTHY
+        return (
+            ProbeResult.HEALTHY
+            if isinstance(report, Success)
+            else ProbeResult.UNHEALTHY
+        )
 
 
-async def read_events(response: aiohttp.ClientResponse) -> AsyncGenerator[EventBatch, None]:
+async def read_events(
+    response: aiohttp.ClientResponse,
+) -> AsyncGenerator[EventBatch, None]:
     """Yield whole events of a stream as they come."""
     cutter = EventSplitter()
     with TargetErrorTranslator():
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -8,11 +8,11 @@
 import aiohttp
 from opentelemetry.trace import Span
 
-from sardinequay_core.retry_decision import AttemptCounts
 from sardinequay_core.clock import Instant, seconds
 from sardinequay_core.names import PoolName, TargetId
 from sardinequay_core.organisations import Organisation
 from sardinequay_core.repeat_budget import RepeatBudget
+from sardinequay_core.retry_decision import AttemptCounts
 from sardinequay_core.serving import Route
 
 from .errors import DaemonError
--- a/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
@@ -40,11 +40,15 @@
 
     def record_partial_usage(self, heard: ReceivedDigest) -> None:
         """Take what one host used, or the hosts of one data centre."""
-        self.ledger.apply_report(heard.digest.host.host_id, reported_usage(heard), heard.received_at)
+        self.ledger.apply_report(
+            heard.digest.host.host_id, reported_usage(heard), heard.received_at
+        )
 
     def record_total_usage(self, heard: ReceivedDigest) -> None:
         """Take from a hub what all other hosts used."""
-        self.ledger.apply_fleet_report(heard.digest.host.host_id, reported_usage(heard), heard.received_at)
+        self.ledger.apply_fleet_report(
+            heard.digest.host.host_id, reported_usage(heard), heard.received_at
+        )
 
     def remove_peer(self, host_id: HostId) -> None:
         """Take that a peer is gone."""
@@ -58,4 +62,6 @@
 def reported_usage(heard: ReceivedDigest) -> ReportedUsage:
     """Return what a digest tells of organisations' usage."""
     digest = heard.digest
-    return ReportedUsage(digest.scope, digest.usage, seconds(digest.up_s), heard.has_restarted)
+    return ReportedUsage(
+        digest.scope, digest.usage, seconds(digest.up_s), heard.has_restarted
+    )
--- a/packages/daemon/src/sardinequay_daemon/fleet_task.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_task.py
@@ -120,7 +120,9 @@
                 next_far = now + seconds(self.far_period_s())
                 self.exchange_with_far_peers()
             if self.update_pending.is_set() and now >= next_flush:
-                next_flush = now + seconds(UPDATE_MIN_PERIOD_S + UPDATE_MIN_PERIOD_PER_HOST_S * len(self.peers))
+                next_flush = now + seconds(
+                    UPDATE_MIN_PERIOD_S + UPDATE_MIN_PERIOD_PER_HOST_S * len(self.peers)
+                )
                 self.update_pending.clear()
                 self.send_updates()
             await self.wait_until_due(min(next_seeds, next_near, next_far), next_flush)
@@ -132,7 +134,9 @@
 
     def far_period_s(self) -> float:
         """Return the time between two digests to hosts elsewhere, or to the hub."""
-        return self.digest_period_s(is_near=False) if self.is_mesh else self.hub_period_s()
+        return (
+            self.digest_period_s(is_near=False) if self.is_mesh else self.hub_period_s()
+        )
 
     def exchange_with_near_peers(self) -> None:
         """Exchange digests with the hosts of this data centre, where that is due.
@@ -151,7 +155,9 @@
     def exchange_with_far_peers(self) -> None:
         """Exchange digests with hosts elsewhere, in a large fleet over the hub."""
         if self.is_mesh:
-            self.exchange_with_peers(p for p in self.peers.values() if not self.is_near(p))
+            self.exchange_with_peers(
+                p for p in self.peers.values() if not self.is_near(p)
+            )
             return
         hub = self.hub()
         self.log_hub_change(hub)
@@ -266,7 +272,9 @@
     async def exchange_digests(self, host_id: HostId, address: Address) -> None:
         """Tell one peer and hear its answer."""
         try:
-            answer = await self.peer_client.call(address, self.build_digest(host_id), EXCHANGE_TIMEOUT_S)
+            answer = await self.peer_client.call(
+                address, self.build_digest(host_id), EXCHANGE_TIMEOUT_S
+            )
         finally:
             self.active_exchanges.discard(host_id)
         if host_id in self.repeat_exchanges:
@@ -281,7 +289,9 @@
 
     def record_failed_exchange(self, host_id: HostId) -> None:
         """Take that an exchange failed; a hub that misses several is lost."""
-        misses = self.failed_exchanges[host_id] = self.failed_exchanges.get(host_id, 0) + 1
+        misses = self.failed_exchanges[host_id] = (
+            self.failed_exchanges.get(host_id, 0) + 1
+        )
         if self.is_mesh or misses < HUB_MAX_FAILURES:
             return
         peer = self.peers.get(host_id)
@@ -381,7 +391,9 @@
                 self.known_contacts.pop(host_id, None)
                 self.update_near_peer_count()
                 self.lost_peers.on_next(host_id)
-            elif peer.store_age_s != float("inf") and silent > self.silence_timeout(peer):
+            elif peer.store_age_s != float("inf") and silent > self.silence_timeout(
+                peer
+            ):
                 log.warning("peer lost", extra={"peer": host_id})
                 self.peers[host_id] = replace(peer, store_age_s=float("inf"))
                 self.lost_peers.on_next(host_id)
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -19,12 +19,12 @@
 )
 from sardinequay_core.clock import Clock
 from sardinequay_core.guard_duty import GuardDuty
-from sardinequay_core.view_join import ViewJoin
 from sardinequay_core.names import DataCentre, HostId, parse_address
 from sardinequay_core.roster import EMPTY_ROSTER, Roster
+from sardinequay_core.view_join import ViewJoin
 from sardinequay_core.views import GuardAddress, View, build_view
 
-from .mailbox import QueuedMessage, Mailbox, run_periodically
+from .mailbox import Mailbox, QueuedMessage, run_periodically
 from .peers import PeerClient
 from .settings import ClaimSettings
 
@@ -71,7 +71,8 @@
         self.started_at = clock.monotonic()
         self.is_founder = clock.now() <= settings.in_service_from
         self.duties = {
-            data_centre: self.make_duty(data_centre, incarnation) for data_centre in settings.founders
+            data_centre: self.make_duty(data_centre, incarnation)
+            for data_centre in settings.founders
         }
         self.roster = EMPTY_ROSTER
         self.inbox = Mailbox()
@@ -153,7 +154,10 @@
             await self.find_active_view(data_centre, duty, joining)
         missing = joining.pending_requests(self.clock.monotonic())
         await asyncio.gather(
-            *[self.request_handover(joining, guard, request) for guard, request in missing]
+            *[
+                self.request_handover(joining, guard, request)
+                for guard, request in missing
+            ]
         )
 
     async def find_active_view(
@@ -194,7 +198,9 @@
             if not page.more:
                 break
             after = page.records[-1].key
-        joining.record_handover(request.view, guard.host_id, merge_pages(pages), asked_at)
+        joining.record_handover(
+            request.view, guard.host_id, merge_pages(pages), asked_at
+        )
 
     def expire_claims(self) -> None:
         """Forget claims whose life is over."""
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -26,15 +26,12 @@
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, ContentsTold, PermitBack
-from .quarantine_replicator import QuarantineReplicator
 from .dispatch import ModelDispatcher, RetryBudgets
-from .target_end_detector import TargetEndDetector
 from .engine_client import EngineHealthCheck, HttpEngineClient
 from .errors import StartError
 from .guard_task import GuardTask, claim_policy
 from .journal import Journal
 from .keeper_task import KeeperTask
-from .use_lease_task import UseLeaseTask
 from .mailbox import run_periodically
 from .membership_task import MembershipTask, PeerInForce
 from .messages import (
@@ -54,14 +51,17 @@
 from .operators import HostStatus, OperatorServer
 from .peers import PeerClient, PeerServer
 from .platform import HttpConfigurationService, HttpHostList, HttpReader
+from .quarantine_replicator import QuarantineReplicator
 from .rollout_task import PeerOffer, RolloutTask
 from .roster_task import RosterTask
 from .services import ServiceForwarder
 from .settings import Settings
 from .single_send import client_session
+from .target_end_detector import TargetEndDetector
 from .target_probe import TargetProbe
 from .tls import client_context, server_context
 from .tracing import Tracing
+from .use_lease_task import UseLeaseTask
 
 EXIT_PORT_IN_USE = 3
 AnyRunner = web.AppRunner | web.ServerRunner
@@ -112,14 +112,19 @@
     def build_tasks(self) -> None:
         """Make every task and say who hears whom."""
         settings, timing = self.settings, self.settings.timing
-        pooled_session, fresh_session = self.make_session(False), self.make_session(True)
+        pooled_session, fresh_session = (
+            self.make_session(False),
+            self.make_session(True),
+        )
         self.sessions = [pooled_session, fresh_session]
         self.membership = self.make_membership()
         self.guard = GuardTask(
             settings.host_id, self.incarnation, settings.claims, self.peers, self.clock
         )
         self.roster = RosterTask(
-            HttpHostList(self.make_reader(pooled_session, settings.host_list, "host_list")),
+            HttpHostList(
+                self.make_reader(pooled_session, settings.host_list, "host_list")
+            ),
             self.peers,
             timing,
             self.metrics,
@@ -129,7 +134,9 @@
         self.rollout = RolloutTask(
             ApprovalPolicy(settings.trust.keys, settings.trust.threshold),
             HttpConfigurationService(
-                self.make_reader(pooled_session, settings.configuration_service, "configuration")
+                self.make_reader(
+                    pooled_session, settings.configuration_service, "configuration"
+                )
             ),
             self.peers,
             timing,
@@ -139,7 +146,10 @@
             self.membership.is_reader,
         )
         engines = HttpEngineClient(
-            pooled_session, fresh_session, timing.silence_s, settings.limits.longest_request_s
+            pooled_session,
+            fresh_session,
+            timing.silence_s,
+            settings.limits.longest_request_s,
         )
         self.keeper = KeeperTask(
             settings.host_id,
@@ -197,7 +207,9 @@
             connector, auto_decompress=False, cookie_jar=aiohttp.DummyCookieJar()
         )
 
-    def make_reader(self, session: aiohttp.ClientSession, url: str, name: str) -> HttpReader:
+    def make_reader(
+        self, session: aiohttp.ClientSession, url: str, name: str
+    ) -> HttpReader:
         """Make the reader of one of the platform's services."""
         return HttpReader(session, url, self.metrics, name)
 
@@ -299,7 +311,9 @@
         rosters.subscribe(self.forward_roster_to_guard)
         self.roster.direct_reads.subscribe(self.guard.apply_host_list)
         self.membership.live_members.subscribe(self.leases.apply_members)
-        self.keeper.subscribe(self.rollout.bundles, rosters, self.membership.live_members)
+        self.keeper.subscribe(
+            self.rollout.bundles, rosters, self.membership.live_members
+        )
         self.rollout.bundles.subscribe(self.announce_bundle)
 
     def forward_roster_to_guard(self, roster: Roster) -> None:
@@ -405,7 +419,9 @@
                     group.create_task(self.keeper.run()),
                     group.create_task(self.leases.run()),
                     group.create_task(self.spread.run()),
-                    group.create_task(run_periodically(EXPIRE_INTERVAL_S, self.expire_contents)),
+                    group.create_task(
+                        run_periodically(EXPIRE_INTERVAL_S, self.expire_contents)
+                    ),
                 ]
                 await stop.wait()
                 await self.drain()
--- a/packages/daemon/src/sardinequay_daemon/hub_table.py
+++ b/packages/daemon/src/sardinequay_daemon/hub_table.py
@@ -115,7 +115,9 @@
         holder = self.lease_holder()
         if holder is not None:
             return self.peers[holder].contact
-        here = {p.contact.host_id: p.contact for p in self.live_peers() if self.is_near(p)}
+        here = {
+            p.contact.host_id: p.contact for p in self.live_peers() if self.is_near(p)
+        }
         here[self.me.host_id] = self.me
         return here[HostId(rank_members("hub", here)[0])]
 
@@ -129,7 +131,9 @@
         for peer in self.peers.values():
             if peer.is_hub and not self.is_near(peer) and self.is_recently_heard(peer):
                 known = newest.get(peer.contact.data_centre)
-                if known is None or (known.last_heard_at or ZERO) < (peer.last_heard_at or ZERO):
+                if known is None or (known.last_heard_at or ZERO) < (
+                    peer.last_heard_at or ZERO
+                ):
                     newest[peer.contact.data_centre] = peer
         return tuple(newest.values())
 
@@ -162,7 +166,9 @@
         return tuple(
             p
             for p in self.peers.values()
-            if p.last_heard_at is not None and p.last_heard_at > since and self.is_near(p)
+            if p.last_heard_at is not None
+            and p.last_heard_at > since
+            and self.is_near(p)
         )
 
     def live_member_records(self) -> tuple[Member, ...]:
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -15,7 +15,6 @@
 
 from sardinequay_core.bundle import Bundle, PoolSettings
 from sardinequay_core.clock import Clock, Instant
-from sardinequay_core.keeper import SUFFIX_BITS, Keeper
 from sardinequay_core.engine_record import (
     Command,
     KeeperPolicy,
@@ -23,8 +22,9 @@
     RecallCommand,
     UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, AdapterUse
-from sardinequay_core.load_queue import RejectWaiter, LoadPolicy
+from sardinequay_core.keeper import SUFFIX_BITS, Keeper
+from sardinequay_core.leases import AdapterUse, HolderId
+from sardinequay_core.load_queue import LoadPolicy, RejectWaiter
 from sardinequay_core.membership import Member
 from sardinequay_core.names import (
     AdapterRef,
@@ -42,13 +42,13 @@
 from .errors import TargetError, TargetFault
 from .journal import Journal
 from .keeper_events import (
-    LoadEnded,
     AssignmentChanged,
+    LoadEnded,
     RecallEnded,
     ReportArrived,
     UnloadEnded,
 )
-from .mailbox import QueuedMessage, Mailbox, run_periodically
+from .mailbox import Mailbox, QueuedMessage, run_periodically
 from .messages import (
     Acquire,
     EngineLoad,
@@ -126,7 +126,9 @@
     ) -> None:
         """Follow what there is to keep, and who is alive to keep it."""
 
-        def post_assignment(latest: tuple[Bundle | None, Roster, tuple[Member, ...]]) -> None:
+        def post_assignment(
+            latest: tuple[Bundle | None, Roster, tuple[Member, ...]],
+        ) -> None:
             bundle, roster, members = latest
             if bundle is not None:
                 self.inbox.post(AssignmentChanged(bundle, roster, members))
@@ -137,7 +139,9 @@
         """Serve messages, read reports and tick for good."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.inbox.handle_messages(self.handle_message))
-            group.create_task(run_periodically(self.timing.report_s, self.request_reports))
+            group.create_task(
+                run_periodically(self.timing.report_s, self.request_reports)
+            )
             group.create_task(run_periodically(TICK_S, self.tick))
 
     def start_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
@@ -224,10 +228,14 @@
         if isinstance(message, Want):
             self.queue_load_request(state, envelope, message, now)
         elif isinstance(message, GiveBack):
-            state.keeper.handle_lease_return(message.holder, message.use, message.sequence)
+            state.keeper.handle_lease_return(
+                message.holder, message.use, message.sequence
+            )
             envelope.reply_with(Taken())
         else:
-            state.holder_addresses[message.holder] = parse_address(message.address).unwrap()
+            state.holder_addresses[message.holder] = parse_address(
+                message.address
+            ).unwrap()
             granted = self.grant_leases(state.keeper, message, now)
             envelope.reply_with(self.granted_reply(state.keeper, granted))
 
@@ -236,10 +244,16 @@
     ) -> list[tuple[AdapterUse, timedelta]]:
         """Grant or renew leases."""
         if isinstance(message, Renew):
-            return keeper.handle_renew(message.holder, message.uses, message.sequence, now)
-        return keeper.handle_acquire(message.holder, message.adapter, message.sequence, now)
+            return keeper.handle_renew(
+                message.holder, message.uses, message.sequence, now
+            )
+        return keeper.handle_acquire(
+            message.holder, message.adapter, message.sequence, now
+        )
 
-    def granted_reply(self, keeper: Keeper, uses: list[tuple[AdapterUse, timedelta]]) -> Granted:
+    def granted_reply(
+        self, keeper: Keeper, uses: list[tuple[AdapterUse, timedelta]]
+    ) -> Granted:
         """Return leases with the reported load of their engines."""
         loads = []
         for target in sorted({use.target for use, _ in uses}):
@@ -249,11 +263,19 @@
         grants = tuple(GrantedUse(use, lasts.total_seconds()) for use, lasts in uses)
         return Granted(grants, tuple(loads))
 
-    def queue_load_request(self, state: KeepershipState, envelope: QueuedMessage, message: Want, now: Instant) -> None:
+    def queue_load_request(
+        self,
+        state: KeepershipState,
+        envelope: QueuedMessage,
+        message: Want,
+        now: Instant,
+    ) -> None:
         """Queue a request for a cold adapter, or give it up at once."""
         ticket = next(self.ticket_ids)
         deadline = now + timedelta(seconds=message.wait_s)
-        given_up = state.keeper.handle_load_request(ticket, message.adapter, deadline, now)
+        given_up = state.keeper.handle_load_request(
+            ticket, message.adapter, deadline, now
+        )
         if given_up is not None:
             wait_s = given_up.retry_after.total_seconds()
             envelope.reply_with(Wanted(False, wait_s))
@@ -265,7 +287,9 @@
             )
         self.run_commands(state, message.keepership.pool)
 
-    def cancel_ticket(self, state: KeepershipState, ticket: int, adapter: AdapterRef) -> None:
+    def cancel_ticket(
+        self, state: KeepershipState, ticket: int, adapter: AdapterRef
+    ) -> None:
         """Forget a ticket that was answered or whose holder is gone."""
         if state.tickets.pop(ticket, None) is not None:
             state.keeper.queue.cancel_request(ticket, adapter)
@@ -281,10 +305,14 @@
             self.handle_unload_ended(state, event, now)
         elif isinstance(event, RecallEnded) and event.answer.in_flight == 0:
             order = event.order
-            state.keeper.handle_lease_return(order.holder, order.use, event.answer.sequence)
+            state.keeper.handle_lease_return(
+                order.holder, order.use, event.answer.sequence
+            )
         self.run_commands(state, event.pool)
 
-    def handle_load_ended(self, state: KeepershipState, event: LoadEnded, now: Instant) -> None:
+    def handle_load_ended(
+        self, state: KeepershipState, event: LoadEnded, now: Instant
+    ) -> None:
         """Take the end of a load, and wake those who waited for it."""
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
@@ -297,7 +325,9 @@
             took_s=event.duration.total_seconds(),
         )
         if event.error is None:
-            self.answer_tickets(state, state.keeper.handle_load_done(use, event.duration, now))
+            self.answer_tickets(
+                state, state.keeper.handle_load_done(use, event.duration, now)
+            )
             return
         log.warning("load failed", extra={"use": str(use), "error": str(event.error)})
         if event.error.fault is TargetFault.STALE_TOKEN:
@@ -312,13 +342,17 @@
             if envelope is not None:
                 envelope.reply_with(Wanted(True))
 
-    def handle_unload_ended(self, state: KeepershipState, event: UnloadEnded, now: Instant) -> None:
+    def handle_unload_ended(
+        self, state: KeepershipState, event: UnloadEnded, now: Instant
+    ) -> None:
         """Take the end of an eviction."""
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
         self.metrics.evictions.inc({"result": result})
         subject = order_id("evict", event.order.token)
-        self.journal.record(subject, result, adapter=str(use.adapter), engine=use.target)
+        self.journal.record(
+            subject, result, adapter=str(use.adapter), engine=use.target
+        )
         if event.error is None:
             state.keeper.handle_unload_done(use, now)
         elif event.error.fault is TargetFault.STALE_TOKEN:
@@ -338,7 +372,9 @@
         for command in state.keeper.tick(self.clock.monotonic()):
             self.run_command(state, pool, command)
 
-    def run_command(self, state: KeepershipState, pool: PoolName, command: Command) -> None:
+    def run_command(
+        self, state: KeepershipState, pool: PoolName, command: Command
+    ) -> None:
         """Carry out one command."""
         if isinstance(command, RejectWaiter):
             envelope = state.tickets.pop(command.ticket, None)
@@ -369,7 +405,9 @@
             waiting_requests=len(waiting.deadlines) if waiting else 0,
             demand=round(queue.demand.decayed_count(adapter, now), 3),
             priority=round(queue.priority(adapter, now), 3),
-            others_waiting=[str(a) for a in queue.loadable_adapters(now)[:5] if a != adapter],
+            others_waiting=[
+                str(a) for a in queue.loadable_adapters(now)[:5] if a != adapter
+            ],
         )
 
     def record_unload_order(self, state: KeepershipState, order: UnloadCommand) -> None:
@@ -384,19 +422,25 @@
             leases="none can still be used",
         )
 
-    async def send_load(self, pool: PoolName, target: Target, order: LoadCommand) -> None:
+    async def send_load(
+        self, pool: PoolName, target: Target, order: LoadCommand
+    ) -> None:
         """Order a load and wait for its end."""
         started_at = self.clock.monotonic()
         result = await self.engines.load(target, order.use, order.token)
         duration = self.clock.monotonic() - started_at
         self.inbox.post(LoadEnded(pool, order, duration, order_error(result)))
 
-    async def send_unload(self, pool: PoolName, target: Target, order: UnloadCommand) -> None:
+    async def send_unload(
+        self, pool: PoolName, target: Target, order: UnloadCommand
+    ) -> None:
         """Order an eviction and wait for its end."""
         result = await self.engines.unload(target, order.use, order.token)
         self.inbox.post(UnloadEnded(pool, order, order_error(result)))
 
-    async def send_recall(self, state: KeepershipState, pool: PoolName, order: RecallCommand) -> None:
+    async def send_recall(
+        self, state: KeepershipState, pool: PoolName, order: RecallCommand
+    ) -> None:
         """Ask a holder to stop; a silent one's lease runs out."""
         address = state.holder_addresses.get(order.holder)
         if address is None:
--- a/packages/daemon/src/sardinequay_daemon/load_request_handler.py
+++ b/packages/daemon/src/sardinequay_daemon/load_request_handler.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Mapping
 
 from sardinequay_core.clock import Clock, seconds
-from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import Waiter
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.names import AdapterRef, TargetId
 
 from .managed_engine import ManagedEngine
--- a/packages/daemon/src/sardinequay_daemon/load_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -64,7 +64,9 @@
         missing = AdapterMissing(target, adapter, published.incarnation)
         self.report_in_background(target, missing)
 
-    def report_in_background(self, target: TargetId, message: AdapterMissing | UseChanged) -> None:
+    def report_in_background(
+        self, target: TargetId, message: AdapterMissing | UseChanged
+    ) -> None:
         """Tell whoever orders an engine, without waiting for the answer."""
         task = asyncio.create_task(self.send_report(target, message))
         self.report_tasks.add(task)
--- a/packages/daemon/src/sardinequay_daemon/logs.py
+++ b/packages/daemon/src/sardinequay_daemon/logs.py
@@ -13,7 +13,9 @@
     """Send all logs to standard error as JSON, each line naming this host."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
-        JsonFormatter(FIELDS, rename_fields=RENAMED_FIELDS, static_fields={"host": host_id})
+        JsonFormatter(
+            FIELDS, rename_fields=RENAMED_FIELDS, static_fields={"host": host_id}
+        )
     )
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/packages/daemon/src/sardinequay_daemon/mailbox.py
+++ b/packages/daemon/src/sardinequay_daemon/mailbox.py
@@ -41,7 +41,9 @@
             handle(await self.queue.get())
 
 
-async def run_periodically(period_s: float, step: Callable[[], Awaitable[None] | None]) -> None:
+async def run_periodically(
+    period_s: float, step: Callable[[], Awaitable[None] | None]
+) -> None:
     """Run a step, then again a period after it ended, for good."""
     while True:
         result = step()
--- a/packages/daemon/src/sardinequay_daemon/managed_engine.py
+++ b/packages/daemon/src/sardinequay_daemon/managed_engine.py
@@ -4,8 +4,13 @@
 from dataclasses import dataclass, field
 
 from sardinequay_core.catalogue import PublishedTarget
+from sardinequay_core.engine_orders import (
+    EngineOrder,
+    LoadAdapter,
+    LoadModel,
+    UnloadAdapter,
+)
 from sardinequay_core.engine_scheduler import EngineScheduler
-from sardinequay_core.engine_orders import LoadAdapter, LoadModel, EngineOrder, UnloadAdapter
 from sardinequay_core.names import AdapterRef
 
 
@@ -16,7 +21,9 @@
     published: PublishedTarget
     scheduler: EngineScheduler
     wake: asyncio.Event = field(default_factory=asyncio.Event)
-    load_waiters: dict[AdapterRef, list[asyncio.Future[None]]] = field(default_factory=dict)
+    load_waiters: dict[AdapterRef, list[asyncio.Future[None]]] = field(
+        default_factory=dict
+    )
     task: asyncio.Task[None] | None = None
 
     def add_load_waiter(self, adapter: AdapterRef) -> asyncio.Future[None]:
@@ -25,7 +32,9 @@
         self.load_waiters.setdefault(adapter, []).append(future)
         return future
 
-    def remove_load_waiter(self, adapter: AdapterRef, future: asyncio.Future[None]) -> None:
+    def remove_load_waiter(
+        self, adapter: AdapterRef, future: asyncio.Future[None]
+    ) -> None:
         """Forget one that waits for an adapter."""
         waiting = self.load_waiters.get(adapter, [])
         if future in waiting:
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -161,7 +161,11 @@
 
     def join_peers(self) -> list[Address]:
         """Return whom a new host hears: its data centre, and one host of each other."""
-        others = [m.address for m in self.membership.live_members() if not self.is_own_member(m)]
+        others = [
+            m.address
+            for m in self.membership.live_members()
+            if not self.is_own_member(m)
+        ]
         elsewhere: dict[DataCentre, Address] = {}
         for host in self.remote_hosts():
             elsewhere.setdefault(host.data_centre, host.peer_address)
@@ -173,7 +177,11 @@
 
     def announce_in_force(self) -> None:
         """Tell at once what is newly in force: locally all, elsewhere two of each."""
-        targets = [m.address for m in self.membership.live_members() if not self.is_own_member(m)]
+        targets = [
+            m.address
+            for m in self.membership.live_members()
+            if not self.is_own_member(m)
+        ]
         told: dict[DataCentre, int] = {}
         for host in self.random.sample(self.remote_hosts(), len(self.remote_hosts())):
             if told.get(host.data_centre, 0) < PLATFORM_READERS and self.is_reader():
--- a/packages/daemon/src/sardinequay_daemon/messages.py
+++ b/packages/daemon/src/sardinequay_daemon/messages.py
@@ -15,7 +15,7 @@
     ViewQuery,
     ViewReply,
 )
-from sardinequay_core.leases import HolderId, AdapterUse
+from sardinequay_core.leases import AdapterUse, HolderId
 from sardinequay_core.membership import Member
 from sardinequay_core.names import AdapterRef, DataCentre, Digest, PoolName, TargetId
 from sardinequay_core.roster import Roster
--- a/packages/daemon/src/sardinequay_daemon/order_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_lease_task.py
@@ -75,8 +75,12 @@
         self.random = random
         self.policy = policy
         now = clock.monotonic()
-        abstains_until = now if is_first_start else process_started_at + policy.lease_duration
-        self.voter = Voter(policy, abstains_until, are_old_tokens_bounded=is_first_start)
+        abstains_until = (
+            now if is_first_start else process_started_at + policy.lease_duration
+        )
+        self.voter = Voter(
+            policy, abstains_until, are_old_tokens_bounded=is_first_start
+        )
         self.candidate = OrderCandidate(me, policy)
         self.process_started_at = process_started_at
         self.no_holder_since = now
@@ -147,13 +151,17 @@
         now = self.clock.monotonic()
         previous_step_at, self.last_step_at = self.last_step_at, now
         if now - previous_step_at > SUSPENDED_AFTER_LEASES * self.policy.lease_duration:
-            log.warning("slept", extra={"for_s": (now - previous_step_at).total_seconds()})
+            log.warning(
+                "slept", extra={"for_s": (now - previous_step_at).total_seconds()}
+            )
             self.has_reclaimed_lease = False
             self.fleet.restart_joining()
 
     def should_campaign(self) -> bool:
         """Return whether to ask for votes now."""
-        if self.has_resigned or not (self.fleet.has_joined() or self.has_reclaimed_lease):
+        if self.has_resigned or not (
+            self.fleet.has_joined() or self.has_reclaimed_lease
+        ):
             return False
         if self.candidate.is_holder:
             return True
@@ -174,7 +182,9 @@
             if p.contact.data_centre == self.data_centre
             and (round(self.fleet.peer_uptime_s(p)), p.contact.host_id) < own_rank
         )
-        return now - self.no_holder_since >= seconds(CAMPAIGN_STAGGER_S * earlier_candidates)
+        return now - self.no_holder_since >= seconds(
+            CAMPAIGN_STAGGER_S * earlier_candidates
+        )
 
     async def run_election(self, is_return: bool = False) -> None:
         """Ask all voters of the data centre at once, and again if a token was low."""
@@ -252,7 +262,8 @@
             return False
         self.voter.handle_resign(message, self.clock.monotonic())
         addresses = [
-            self.fleet.address_of(v) for v in self.fleet.voters(self.policy.lease_duration)
+            self.fleet.address_of(v)
+            for v in self.fleet.voters(self.policy.lease_duration)
         ]
         calls = [self.peers.call(a, message, BALLOT_TIMEOUT_S) for a in addresses if a]
         await asyncio.gather(*calls)
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -13,19 +13,20 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import ZERO, Clock, Instant, seconds
-from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import (
     AskReport,
     EngineOrder,
     Rest,
 )
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.names import HostId, TargetId, parse_adapter_ref
 from sardinequay_core.residency import AdapterUses
 from sardinequay_core.roster import Presence
 from sardinequay_core.serving import EnginePool, TargetPool
 
-from .order_lease_task import OrderLeaseTask
+from .load_request_handler import LoadRequestHandler
 from .managed_engine import ManagedEngine, order_subject
+from .order_lease_task import OrderLeaseTask
 from .serving_messages import (
     AdapterMissing,
     EngineHoldings,
@@ -34,7 +35,6 @@
 )
 from .serving_metrics import ServingMetrics
 from .serving_ports import EngineOrders, OrderAccepted, OrderTerms
-from .load_request_handler import LoadRequestHandler
 
 LEASE_POLL_S = 0.08
 """How often an order that waits for the lease looks at it."""
@@ -95,7 +95,9 @@
         self.is_ordering = False
         self.last_holdings: tuple[EngineHoldings, ...] = ()
         self.last_holdings_at = ZERO
-        self.load_requests = LoadRequestHandler(self.managed_engines, lambda: self.orders_in_s, clock)
+        self.load_requests = LoadRequestHandler(
+            self.managed_engines, lambda: self.orders_in_s, clock
+        )
 
     @property
     def orders_in_s(self) -> float:
@@ -185,7 +187,9 @@
                 engine.published = published
                 engine.wake.set()
 
-    def reset_scheduler(self, engine: ManagedEngine, published: PublishedTarget) -> None:
+    def reset_scheduler(
+        self, engine: ManagedEngine, published: PublishedTarget
+    ) -> None:
         """Begin anew with an engine that started again under its id.
 
         Nothing of the start before holds. Reports lag, so none is believed that may be
@@ -202,7 +206,10 @@
         )
         engine.published = published
         engine.scheduler = EngineScheduler(
-            previous.target, previous.max_adapters, published.incarnation, previous.change_number + 1
+            previous.target,
+            previous.max_adapters,
+            published.incarnation,
+            previous.change_number + 1,
         )
         engine.scheduler.mark_in_doubt(self.clock.monotonic())
         engine.wake.set()
@@ -214,12 +221,16 @@
         pool = config.pools[published.target.pool].engines if config else None
         if pool is None or target_id in self.managed_engines:
             return
-        scheduler = EngineScheduler(target_id, pool.adapter_slots, published.incarnation)
+        scheduler = EngineScheduler(
+            target_id, pool.adapter_slots, published.incarnation
+        )
         received = self.peer_holdings.get(target_id)
         inherited = received.holdings if received is not None else None
         if inherited is not None and inherited.incarnation >= scheduler.incarnation:
             scheduler.incarnation = inherited.incarnation
-            scheduler.load_times.restore_recent(parse_adapter_ref(t).unwrap() for t in inherited.recent)
+            scheduler.load_times.restore_recent(
+                parse_adapter_ref(t).unwrap() for t in inherited.recent
+            )
         engine = self.managed_engines[target_id] = ManagedEngine(published, scheduler)
         engine.task = asyncio.create_task(self.run_scheduler(engine))
 
@@ -264,12 +275,18 @@
         pool = config.pools.get(engine.published.target.pool) if config else None
         if pool is None or pool.engines is None:
             return
-        engine.scheduler.max_adapters = pool.engines.adapter_capacity(engine.scheduler.models)
+        engine.scheduler.max_adapters = pool.engines.adapter_capacity(
+            engine.scheduler.models
+        )
         engine.scheduler.requested_model = None
         if not engine.scheduler.models and engine.scheduler.accepted_orders is not None:
-            engine.scheduler.requested_model = self.least_replicated_model(pool, pool.engines)
+            engine.scheduler.requested_model = self.least_replicated_model(
+                pool, pool.engines
+            )
 
-    def least_replicated_model(self, pool: TargetPool, engines: EnginePool) -> str | None:
+    def least_replicated_model(
+        self, pool: TargetPool, engines: EnginePool
+    ) -> str | None:
         """Return the model that the fewest engines of a pool hold."""
         held = dict.fromkeys(engines.loadable_models(), 0)
         for other in self.catalogue.live_targets(pool.name):
@@ -296,7 +313,9 @@
                 self.on_holdings_changed()
             return
         detail = str(report.failure())
-        log.info("no report", extra={"target": engine.scheduler.target, "detail": detail})
+        log.info(
+            "no report", extra={"target": engine.scheduler.target, "detail": detail}
+        )
         await self.wait_for_wake(engine, REPORT_RETRY_PAUSE_S)
 
     async def send_order(self, engine: ManagedEngine, order: EngineOrder) -> None:
@@ -328,7 +347,9 @@
         self.record_order(engine, order, outcome)
         self.on_holdings_changed()
 
-    def record_order(self, engine: ManagedEngine, order: EngineOrder, outcome: str) -> None:
+    def record_order(
+        self, engine: ManagedEngine, order: EngineOrder, outcome: str
+    ) -> None:
         """Log and count one order."""
         kind = type(order).__name__
         result = outcome.partition(":")[0]
@@ -374,11 +395,17 @@
         if isinstance(message, AdapterMissing):
             if message.incarnation < engine.scheduler.incarnation:
                 return Noted()
-            engine.scheduler.handle_adapter_missing(message.adapter, self.clock.monotonic())
+            engine.scheduler.handle_adapter_missing(
+                message.adapter, self.clock.monotonic()
+            )
         elif message.use.count:
-            engine.scheduler.record_use_start(message.use.adapter, self.clock.monotonic())
+            engine.scheduler.record_use_start(
+                message.use.adapter, self.clock.monotonic()
+            )
         else:
-            engine.scheduler.record_uses({message.use.adapter: 1}, self.clock.monotonic())
+            engine.scheduler.record_uses(
+                {message.use.adapter: 1}, self.clock.monotonic()
+            )
         engine.wake.set()
         return Noted()
 
--- a/packages/daemon/src/sardinequay_daemon/peer_table.py
+++ b/packages/daemon/src/sardinequay_daemon/peer_table.py
@@ -162,7 +162,9 @@
         if not self.is_mesh and not is_near:
             return OTHER_HUB_SILENCE_TIMEOUT
         period_s = self.digest_period_s(is_near)
-        return seconds(SILENCE_TIMEOUT_S + SILENCE_TIMEOUT_PERIODS * (period_s - DIGEST_PERIOD_S))
+        return seconds(
+            SILENCE_TIMEOUT_S + SILENCE_TIMEOUT_PERIODS * (period_s - DIGEST_PERIOD_S)
+        )
 
     @property
     def live_hosts(self) -> int:
@@ -171,13 +173,17 @@
 
     def hosts_age_s(self) -> float:
         """Return how long ago news of the hosts that serve came last, in seconds."""
-        heard = (p.last_heard_at for p in self.peers.values() if p.last_heard_at is not None)
+        heard = (
+            p.last_heard_at for p in self.peers.values() if p.last_heard_at is not None
+        )
         now = self.clock.monotonic()
         return (now - max(heard, default=self.started_at)).total_seconds()
 
     def peer_uptime_s(self, peer: Peer) -> float:
         """Return how long ago a peer started, in seconds."""
-        return peer.up_s + (self.clock.monotonic() - peer.up_s_received_at).total_seconds()
+        return (
+            peer.up_s + (self.clock.monotonic() - peer.up_s_received_at).total_seconds()
+        )
 
     def last_sign_of_life(self, peer: Peer) -> Instant:
         """Return when a peer last showed that it lives, or when it became known."""
@@ -260,7 +266,9 @@
 
         Of two that say so, the one that has had to wait less is the holder.
         """
-        may_order = (p for p in self.peers.values() if p.orders_in_s < ORDER_WAIT_UNKNOWN_S)
+        may_order = (
+            p for p in self.peers.values() if p.orders_in_s < ORDER_WAIT_UNKNOWN_S
+        )
         holders = [p for p in may_order if self.is_recently_heard(p)]
         holders.sort(key=lambda p: (p.orders_in_s, p.contact.host_id), reverse=True)
         return {p.contact.data_centre: p for p in holders}
@@ -300,7 +308,9 @@
     def digest_period_s(self, is_near: bool) -> float:
         """Return the time between two digests to one peer."""
         hosts = self.near_peer_count if is_near else len(self.peers)
-        return DIGEST_PERIOD_S + DIGEST_PERIOD_PER_HOST_S * hosts * max(1.0, hosts / LINEAR_PERIOD_MAX_HOSTS)
+        return DIGEST_PERIOD_S + DIGEST_PERIOD_PER_HOST_S * hosts * max(
+            1.0, hosts / LINEAR_PERIOD_MAX_HOSTS
+        )
 
     def max_harmless_silence(self) -> timedelta:
         """Return how long a far peer may be silent without anything being lost."""
@@ -330,4 +340,6 @@
         if known is None or known.last_heard_at is None:
             return
         long_ago = self.clock.monotonic() - self.silence_timeout(known)
-        self.peers[host_id] = replace(known, last_heard_at=min(known.last_heard_at, long_ago))
+        self.peers[host_id] = replace(
+            known, last_heard_at=min(known.last_heard_at, long_ago)
+        )
--- a/packages/daemon/src/sardinequay_daemon/peers.py
+++ b/packages/daemon/src/sardinequay_daemon/peers.py
@@ -25,11 +25,11 @@
 from .wire import (
     Frame,
     FrameError,
-    FrameReader,
     FrameKind,
+    FrameReader,
+    decode_message,
     encode_frame,
     encode_message,
-    decode_message,
 )
 
 READ_BYTES = 65_536
@@ -236,7 +236,9 @@
             reader, writer = await asyncio.open_connection(
                 address.ip, address.port, ssl=self.tls, local_addr=self.source
             )
-        link = PeerLink(reader, writer, self.metrics, self.timing.silence_s, self.idle_s)
+        link = PeerLink(
+            reader, writer, self.metrics, self.timing.silence_s, self.idle_s
+        )
         link.tasks[0].add_done_callback(lambda _: self.drop_link(address, link))
         return link
 
@@ -267,7 +269,9 @@
         self, address: Address, tls: ssl.SSLContext | None = None
     ) -> asyncio.Server:
         """Listen."""
-        return await asyncio.start_server(self.serve_connection, address.ip, address.port, ssl=tls)
+        return await asyncio.start_server(
+            self.serve_connection, address.ip, address.port, ssl=tls
+        )
 
     async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -310,7 +314,9 @@
             reply = await handler(message)
             connection.send(encode_message(FrameKind.REPLY, frame.correlation, reply))
         except FrameError as error:
-            failure = Frame(FrameKind.FAILURE, frame.correlation, "", str(error).encode())
+            failure = Frame(
+                FrameKind.FAILURE, frame.correlation, "", str(error).encode()
+            )
             connection.send(failure)
 
     def close(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -3,18 +3,18 @@
 import asyncio
 import logging
 
-from sardinequay_core.retry_decision import AttemptEnd, RetryDecision, decide_retry
 from sardinequay_core.clock import ZERO, Instant
 from sardinequay_core.names import TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
 from sardinequay_core.repeat_budget import RepeatUsage
+from sardinequay_core.retry_decision import AttemptEnd, RetryDecision, decide_retry
 from sardinequay_core.serving import Repetition
 from sardinequay_core.target_health import AttemptResult
 
 from .attempt import Attempt, RelayDependencies
 from .content_guard import ContentGuard
 from .errors import TargetError, TargetFault
-from .exchange import AnswerCutOffError, RelayExchange, AnswerSink
+from .exchange import AnswerCutOffError, AnswerSink, RelayExchange
 from .progress import RequestRefusedError, answer_lost_refusal
 from .target_picker import NO_TARGET_RETRY, TargetPicker, jittered_retry_after
 
@@ -48,7 +48,9 @@
             exchange.end_repeat(self.clock.monotonic())
             self.guard.release_permit(exchange.guarded_run)
 
-    async def serve_with_retries(self, exchange: RelayExchange, sink: AnswerSink) -> None:
+    async def serve_with_retries(
+        self, exchange: RelayExchange, sink: AnswerSink
+    ) -> None:
         """Try one target after another until one has answered."""
         while True:
             # A target's end also counts against the request: left to the judgement of
@@ -67,7 +69,9 @@
             self.record_end(exchange, target.target.target_id, end)
             await self.allow_retry_or_raise(exchange, end)
 
-    def record_end(self, exchange: RelayExchange, target: TargetId, end: AttemptEnd) -> None:
+    def record_end(
+        self, exchange: RelayExchange, target: TargetId, end: AttemptEnd
+    ) -> None:
         """Take how an attempt at a target failed."""
         exchange.attempts_so_far = exchange.attempts_so_far.with_attempt(end)
         exchange.guarded_run.may_have_run = exchange.attempts_so_far.runs > 0
@@ -75,7 +79,9 @@
         if end is AttemptEnd.REJECTED:
             exchange.rejections[target] += 1
 
-    async def resend(self, lost_attempt: Attempt, sink: AnswerSink) -> AttemptEnd | None:
+    async def resend(
+        self, lost_attempt: Attempt, sink: AnswerSink
+    ) -> AttemptEnd | None:
         """Send what a kept connection lost to the same target over a new one.
 
         Both sends are one of the runs that the route permits: they reach one target.
@@ -92,9 +98,13 @@
         use = self.repeat_use(exchange, now)
         if exchange.time_left(now) <= ZERO or not use.has_room:
             return AttemptEnd.MAY_HAVE_RUN
-        self.log_retry_decision(exchange, AttemptEnd.LOST_ON_REUSED_CONNECTION, RetryDecision.RETRY, use)
+        self.log_retry_decision(
+            exchange, AttemptEnd.LOST_ON_REUSED_CONNECTION, RetryDecision.RETRY, use
+        )
         exchange.begin_repeat(self.state.repeat_budget(exchange.pool))
-        second_attempt = Attempt(self.parts, exchange, lost_attempt.published, is_resend=True)
+        second_attempt = Attempt(
+            self.parts, exchange, lost_attempt.published, is_resend=True
+        )
         end = await self.run_attempt(second_attempt, sink)
         return AttemptEnd.MAY_HAVE_RUN if end is not None else None
 
@@ -102,10 +112,15 @@
         """Wait until it is known whether the last target ended under a request."""
         time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
         await self.guard.wait_for_verdict(exchange.guarded_run, time_left_s)
-        if exchange.attempts_so_far.runs and exchange.time_left(self.clock.monotonic()) <= ZERO:
+        if (
+            exchange.attempts_so_far.runs
+            and exchange.time_left(self.clock.monotonic()) <= ZERO
+        ):
             raise RequestRefusedError(answer_lost_refusal())
 
-    async def allow_retry_or_raise(self, exchange: RelayExchange, end: AttemptEnd) -> None:
+    async def allow_retry_or_raise(
+        self, exchange: RelayExchange, end: AttemptEnd
+    ) -> None:
         """Permit another attempt by returning, or raise the request's end."""
         pause_s = 0.0
         if end is AttemptEnd.REJECTED:
@@ -114,7 +129,10 @@
         use = self.repeat_use(exchange, now)
         within_budget = end is AttemptEnd.NOT_SENT or use.has_room
         route = exchange.route
-        if exchange.answer_started and route.repetition is not Repetition.RESUMABLE_STREAM:
+        if (
+            exchange.answer_started
+            and route.repetition is not Repetition.RESUMABLE_STREAM
+        ):
             raise AnswerCutOffError
         step = decide_retry(
             route.repetition,
@@ -136,10 +154,16 @@
 
     def repeat_use(self, exchange: RelayExchange, now: Instant) -> RepeatUsage:
         """Return what of this host's share of repeats at a pool is used."""
-        return self.state.repeat_budget(exchange.pool).current_usage(self.state.fleet_size.estimated_hosts(), now)
+        return self.state.repeat_budget(exchange.pool).current_usage(
+            self.state.fleet_size.estimated_hosts(), now
+        )
 
     def log_retry_decision(
-        self, exchange: RelayExchange, end: AttemptEnd, step: RetryDecision, use: RepeatUsage
+        self,
+        exchange: RelayExchange,
+        end: AttemptEnd,
+        step: RetryDecision,
+        use: RepeatUsage,
     ) -> None:
         """Log whether another attempt may follow, and from what that was decided."""
         is_permitted = step is RetryDecision.RETRY
@@ -170,7 +194,9 @@
         wait = jittered_retry_after(self.state.random, NO_TARGET_RETRY)
         return not_run_refusal(Reason.TARGET_REFUSED, text, wait)
 
-    async def run_attempt(self, attempt: Attempt, sink: AnswerSink) -> AttemptEnd | None:
+    async def run_attempt(
+        self, attempt: Attempt, sink: AnswerSink
+    ) -> AttemptEnd | None:
         """Send a request to one target; return how that failed, or None."""
         exchange, published = attempt.exchange, attempt.published
         attempt.begin_accounting()
@@ -183,7 +209,10 @@
             if error.fault in (TargetFault.BROKEN, TargetFault.LOST_ON_KEPT):
                 incarnation = published.incarnation
                 self.guard.handle_broken_connection(
-                    exchange.guarded_run, published.target, incarnation, attempt.elapsed_s()
+                    exchange.guarded_run,
+                    published.target,
+                    incarnation,
+                    attempt.elapsed_s(),
                 )
         finally:
             attempt.end_accounting()
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -16,9 +16,9 @@
 from sardinequay_core.quota_ledger import Admitted
 from sardinequay_core.serving import CallerLimits, Route, ServingConfig
 
+from .caller_admission import CallerAdmission
 from .caller_answer import CallerAnswer
 from .caller_connection import CallerConnection
-from .caller_admission import CallerAdmission
 from .exchange import AnswerCutOffError, RelayExchange
 from .guarded_run import GuardedRun
 from .progress import RequestRefusedError
@@ -134,8 +134,14 @@
             organisation = self.admission.authenticate(config, route, terms)
             answer.organisation = organisation.name if organisation is not None else ""
             self.refuse_if_closing(route)
-            admitted = None if organisation is None else self.admission.admit(organisation, terms)
-            exchange = await self.build_exchange(http, terms, config, route, organisation, arrived)
+            admitted = (
+                None
+                if organisation is None
+                else self.admission.admit(organisation, terms)
+            )
+            exchange = await self.build_exchange(
+                http, terms, config, route, organisation, arrived
+            )
             try:
                 await self.relay.serve(exchange, answer.sink())
             finally:
@@ -162,7 +168,9 @@
             text = f"the headers exceed {limit} bytes"
             raise RequestRefusedError(not_run_refusal(Reason.HEADERS_TOO_LARGE, text))
         if not http.raw_path.startswith("/"):
-            raise RequestRefusedError(not_run_refusal(Reason.MALFORMED, "the target is no path"))
+            raise RequestRefusedError(
+                not_run_refusal(Reason.MALFORMED, "the target is no path")
+            )
         read = self.dialect.parse_terms(http.headers)
         if not isinstance(read, Success):
             raise RequestRefusedError(read.failure())
@@ -174,10 +182,14 @@
         config = self.state.catalogue.config
         if config is None:
             text = "no configuration is known yet"
-            raise RequestRefusedError(not_run_refusal(Reason.NO_BUNDLE, text, NO_CONFIG_RETRY))
+            raise RequestRefusedError(
+                not_run_refusal(Reason.NO_BUNDLE, text, NO_CONFIG_RETRY)
+            )
         host = http.headers.get("Host", "")
         path = http.raw_path.partition("?")[0]
-        route = config.match_route(host, path) or config.match_route(host.partition(":")[0], path)
+        route = config.match_route(host, path) or config.match_route(
+            host.partition(":")[0], path
+        )
         if route is None:
             text = f"version {config.version} has no route there"
             raise RequestRefusedError(not_run_refusal(Reason.UNKNOWN_ROUTE, text))
@@ -191,7 +203,9 @@
         time_left = stops_at - self.clock.monotonic()
         if route.timeout > time_left or route.repetition.is_stream:
             text = "this host is stopping; others serve you"
-            raise RequestRefusedError(not_run_refusal(Reason.SHUTTING_DOWN, text, STOPPING_RETRY))
+            raise RequestRefusedError(
+                not_run_refusal(Reason.SHUTTING_DOWN, text, STOPPING_RETRY)
+            )
 
     async def build_exchange(
         self,
@@ -253,12 +267,16 @@
                         raise RequestRefusedError(too_large_refusal(limit))
                     if self.bodies_bytes > self.max_bodies_bytes:
                         text = "the memory for bodies is used up"
-                        raise RequestRefusedError(not_run_refusal(Reason.OVERLOADED, text, BODY_RETRY))
+                        raise RequestRefusedError(
+                            not_run_refusal(Reason.OVERLOADED, text, BODY_RETRY)
+                        )
             return b"".join(parts)
         except TimeoutError as error:
             self.bodies_bytes -= size
             text = "the body did not come in time"
-            raise RequestRefusedError(not_run_refusal(Reason.DEADLINE_EXPIRED, text)) from error
+            raise RequestRefusedError(
+                not_run_refusal(Reason.DEADLINE_EXPIRED, text)
+            ) from error
         except BaseException:
             self.bodies_bytes -= size
             raise
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -118,9 +118,13 @@
         """Take a peer's share of load, its uses of adapters, and what engines hold."""
         digest = received.digest
         self.loads.has_fleet_pace = not self.fleet.is_mesh
-        self.loads.peer_expiry = max(PEER_SHARE_EXPIRY, self.fleet.max_harmless_silence())
+        self.loads.peer_expiry = max(
+            PEER_SHARE_EXPIRY, self.fleet.max_harmless_silence()
+        )
         match digest.scope:
-            case DigestScope.HOST | DigestScope.DATA_CENTRE if self.receives_host_digests():
+            case DigestScope.HOST | DigestScope.DATA_CENTRE if (
+                self.receives_host_digests()
+            ):
                 self.apply_host_digest(received)
             case DigestScope.FLEET if self.fleet.hub() == digest.host:
                 self.apply_fleet_digest(received)
@@ -198,7 +202,10 @@
             holdings.incarnation,
             holdings.idle,
         )
-        if self.residency.apply_update(holdings.target, held) and self.orders is not None:
+        if (
+            self.residency.apply_update(holdings.target, held)
+            and self.orders is not None
+        ):
             self.orders.record_peer_holdings(holdings)
 
     def forget_peer(self, host_id: HostId) -> None:
@@ -259,7 +266,9 @@
             keeper = self.own_keeping(data_centre)
             peer = peers.get(data_centre)
             if keeper is None and peer is not None:
-                keeper = EngineKeeper(peer.contact.host_id, peer.orders_in_s, is_self=False)
+                keeper = EngineKeeper(
+                    peer.contact.host_id, peer.orders_in_s, is_self=False
+                )
             if keeper is not None:
                 found[data_centre] = keeper
         return found
--- a/packages/daemon/src/sardinequay_daemon/rollout_task.py
+++ b/packages/daemon/src/sardinequay_daemon/rollout_task.py
@@ -14,7 +14,12 @@
 from reactivex.subject import BehaviorSubject
 from returns.result import Failure, Result, Success
 
-from sardinequay_core.approval import SignedRoot, ApprovalPolicy, parse_signed_root, root_digest
+from sardinequay_core.approval import (
+    ApprovalPolicy,
+    SignedRoot,
+    parse_signed_root,
+    root_digest,
+)
 from sardinequay_core.bundle import MISSING_BLOB, Bundle, assemble_bundle, missing_blobs
 from sardinequay_core.bundle import compute_digest as blob_digest
 from sardinequay_core.clock import Clock
@@ -99,7 +104,9 @@
             await self.fetch_initial_roots(first_peers)
             group.create_task(self.watch())
 
-    async def fetch_initial_roots(self, first_peers: Callable[[], Iterable[Address]]) -> None:
+    async def fetch_initial_roots(
+        self, first_peers: Callable[[], Iterable[Address]]
+    ) -> None:
         """Hear what peers have in force before the service is believed.
 
         After the bound a host that hears no peer goes on alone, and says so.
--- a/packages/daemon/src/sardinequay_daemon/roster_task.py
+++ b/packages/daemon/src/sardinequay_daemon/roster_task.py
@@ -66,7 +66,9 @@
         while True:
             is_first = self.roster.number == 0
             if is_first or self.is_reader():
-                await self.read_host_list(0 if is_first else self.timing.platform_wait_s)
+                await self.read_host_list(
+                    0 if is_first else self.timing.platform_wait_s
+                )
             else:
                 await asyncio.sleep(self.timing.list_confirm_s)
                 if self.must_confirm():
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -125,7 +125,9 @@
         usable = [t for t in live if self.avoided.get(t.target_id, now) <= now]
         if not live:
             text = "no target of the service is live"
-            raise RequestRefusedError(not_run_refusal(Reason.NO_TARGET, text, NO_TARGET_RETRY_AFTER))
+            raise RequestRefusedError(
+                not_run_refusal(Reason.NO_TARGET, text, NO_TARGET_RETRY_AFTER)
+            )
         return min(
             usable or live,
             key=lambda t: (self.in_flight.get(t.target_id, 0), self.random.random()),
@@ -237,7 +239,9 @@
         if error is None:
             self.forwarder.guard.record_answer(self.run.content)
         elif isinstance(error, BROKEN_ERRORS):
-            self.forwarder.guard.handle_broken_connection(self.run, self.target, 0, self.attempt_age_s())
+            self.forwarder.guard.handle_broken_connection(
+                self.run, self.target, 0, self.attempt_age_s()
+            )
         self.forwarder.guard.release_permit(self.run)
         if isinstance(error, BROKEN_ERRORS):
             text = f"the answer was cut off: {error!r}"
@@ -282,7 +286,9 @@
                     run.may_have_run = True
                 forwarder.after_failure(request, target, progress, error)
                 if not budget.try_spend(progress.attempts):
-                    raise RequestRefusedError(final_service_refusal(error, progress)) from error
+                    raise RequestRefusedError(
+                        final_service_refusal(error, progress)
+                    ) from error
                 forwarder.metrics.retries.inc({"pool": request.service.pool})
             finally:
                 if self.target is None:
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -17,16 +17,16 @@
 from sardinequay_core.target_health import trial_turn_of
 
 from .attempt import RelayDependencies
+from .bounded_log import NonBlockingLogHandler
 from .caller_admission import CallerAdmission
 from .connection_probe import ConnectionProbe
 from .content_guard import ContentGuard
 from .content_messages import AskPermit, PermitBack
-from .bounded_log import NonBlockingLogHandler
 from .digest_writer import DigestWriter
-from .target_end_detector import TargetEndDetector
 from .errors import StartError
 from .fleet_task import FleetTask, ReceivedDigest
 from .host_pages import create_status_app
+from .load_requests import LoadRequestClient
 from .order_lease_task import OrderLeaseTask
 from .order_task import OrderTask
 from .peers import PeerClient, PeerServer
@@ -44,17 +44,17 @@
 )
 from .serving_metrics import ServingMetrics
 from .serving_ports import (
-    HttpDialect,
     EngineOrders,
     HostProfile,
+    HttpDialect,
     MetadataStore,
 )
 from .shared_settings import TimingSettings
 from .store_task import StoreTask, head_start_s
+from .target_end_detector import TargetEndDetector
 from .target_probe import TargetProbe
 from .tracing import Tracing
 from .upstream import Upstream
-from .load_requests import LoadRequestClient
 
 EXIT_PORT_IN_USE = 3
 PEER_TIMING = TimingSettings(call_timeout_s=0.6, silence_s=1.0, connect_timeout_s=0.4)
@@ -142,7 +142,9 @@
             random,
             bounds.repeats,
             self.fleet,
-            repeat_slack_from=ZERO if profile.is_first_start else process_started_at + SLACK_DELAY,
+            repeat_slack_from=ZERO
+            if profile.is_first_start
+            else process_started_at + SLACK_DELAY,
         )
         self.state.quotas.apply_policy(bounds.quotas)
         self.state.health.trial_turn = trial_turn_of(profile.host_id)
@@ -348,7 +350,9 @@
             )
             await self.serve_http(ready, profile.readiness)
             metrics = web.AppRunner(
-                create_status_app(self.metrics.registry, self.status, self.guard.lift_quarantine),
+                create_status_app(
+                    self.metrics.registry, self.status, self.guard.lift_quarantine
+                ),
                 access_log=None,
             )
             await self.serve_http(metrics, profile.metrics)
@@ -411,7 +415,9 @@
                 await self.orders.resign()
             if elapsed_s > grace_s:
                 remaining = self.server.in_flight
-                log.error("stopped with requests in flight", extra={"in_flight": remaining})
+                log.error(
+                    "stopped with requests in flight", extra={"in_flight": remaining}
+                )
                 break
             await asyncio.sleep(DRAIN_POLL_S)
         await self.orders.resign()
--- a/packages/daemon/src/sardinequay_daemon/serving_ports.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_ports.py
@@ -12,7 +12,7 @@
 from returns.result import Result
 
 from sardinequay_core.catalogue import Change
-from sardinequay_core.engine_orders import EngineStatus, EngineOrder
+from sardinequay_core.engine_orders import EngineOrder, EngineStatus
 from sardinequay_core.names import Address, DataCentre, HostId
 from sardinequay_core.organisations import KeyDigest
 from sardinequay_core.outcome import Refusal
@@ -215,7 +215,9 @@
     ) -> Result[OrderAccepted | OrderRefused, PlatformError]:
         """Give an engine an order; a failure leaves open whether it was accepted."""
 
-    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(
+        self, target: Target, incarnation: int, health_path: str
+    ) -> ProbeResult:
         """Return what a target shows of the start that had a request."""
 
 
--- a/packages/daemon/src/sardinequay_daemon/settings_check.py
+++ b/packages/daemon/src/sardinequay_daemon/settings_check.py
@@ -62,7 +62,9 @@
     return next((o for o in options if is_dataclass(o)), None)  # type: ignore[return-value]
 
 
-def unknown_field_errors(raw: Any, settings_type: type, path: str) -> Iterator[SettingsError]:
+def unknown_field_errors(
+    raw: Any, settings_type: type, path: str
+) -> Iterator[SettingsError]:
     """Yield an error for each field that no setting has."""
     if not isinstance(raw, dict):
         return
@@ -86,7 +88,9 @@
     if missing:
         name = f"{path}.{missing['name']}" if path else missing["name"]
         return SettingsError(name, "missing", "a value; it has no default")
-    return SettingsError(path or "settings", format_value(value_at_path(raw, path)), allowed)
+    return SettingsError(
+        path or "settings", format_value(value_at_path(raw, path)), allowed
+    )
 
 
 def value_at_path(raw: Any, path: str) -> object:
@@ -109,14 +113,18 @@
             yield from field_errors(field_spec, inner_value, field_path)
 
 
-def field_errors(field_spec: Field[Any], value: Any, field_path: str) -> Iterator[SettingsError]:
+def field_errors(
+    field_spec: Field[Any], value: Any, field_path: str
+) -> Iterator[SettingsError]:
     """Yield an error if one field is outside its range or choices."""
     low, high = field_spec.metadata.get("range", (None, None))
     if low is not None and not low <= value <= high:
         yield SettingsError(field_path, format_value(value), f"{low} to {high}")
     choices = field_spec.metadata.get("choices")
     if choices and value not in choices:
-        yield SettingsError(field_path, format_value(value), "one of " + ", ".join(choices))
+        yield SettingsError(
+            field_path, format_value(value), "one of " + ", ".join(choices)
+        )
 
 
 def consistency_errors(settings: Settings) -> Iterator[SettingsError]:
@@ -132,7 +140,9 @@
     for name in URL_FIELDS:
         value = getattr(settings, name)
         if not value.startswith(("http://", "https://")):
-            yield SettingsError(name, format_value(value), "an http:// or https:// address")
+            yield SettingsError(
+                name, format_value(value), "an http:// or https:// address"
+            )
     if settings.data_centre not in settings.data_centres:
         allowed = "one of data_centres: " + ", ".join(settings.data_centres)
         yield SettingsError("data_centre", format_value(settings.data_centre), allowed)
--- a/packages/daemon/src/sardinequay_daemon/store_task.py
+++ b/packages/daemon/src/sardinequay_daemon/store_task.py
@@ -17,13 +17,13 @@
 from returns.result import Result, Success
 
 from sardinequay_core.catalogue import (
-    RemovalPolicy,
     Catalogue,
     Change,
+    RemovalPolicy,
     TargetUnreadable,
-    expire_unconfirmed,
     apply_change,
     apply_listing,
+    expire_unconfirmed,
     is_equal_except_revisions,
 )
 from sardinequay_core.clock import Clock, Instant, seconds
@@ -273,7 +273,9 @@
             change = self.decode(item)
             if change is not None:
                 catalogue = apply_change(change, catalogue, self.absence_rule())
-        self.publish_catalogue(replace(catalogue, revision=max(revision, catalogue.revision)))
+        self.publish_catalogue(
+            replace(catalogue, revision=max(revision, catalogue.revision))
+        )
 
     def save_item(self, item: StoreItem) -> None:
         """Keep an item for peers."""
@@ -313,7 +315,9 @@
         if catalogue == before:
             return
         self.log_changes(before, catalogue)
-        is_due = self.clock.monotonic() - self.announced_at >= RENEWAL_ANNOUNCEMENT_PERIOD
+        is_due = (
+            self.clock.monotonic() - self.announced_at >= RENEWAL_ANNOUNCEMENT_PERIOD
+        )
         if is_due or not is_equal_except_revisions(before, catalogue):
             self.announced_revision = catalogue.revision
             self.announced_at = self.clock.monotonic()
@@ -351,7 +355,9 @@
         While the store is in trouble no entry can come back.
         """
         if self.catalogue.unconfirmed and not self.failures:
-            self.publish_catalogue(expire_unconfirmed(self.catalogue, self.clock.monotonic()))
+            self.publish_catalogue(
+                expire_unconfirmed(self.catalogue, self.clock.monotonic())
+            )
 
     # Peers.
 
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -76,7 +76,9 @@
         self.is_live = is_live
         self.record_end = record_end
         self.probes: dict[tuple[TargetId, int], asyncio.Task[bool]] = {}
-        self.presumed_alive: deque[InterruptedRequest] = deque(maxlen=MAX_PRESUMED_ALIVE)
+        self.presumed_alive: deque[InterruptedRequest] = deque(
+            maxlen=MAX_PRESUMED_ALIVE
+        )
 
     async def has_ended_during(self, interrupted: InterruptedRequest) -> bool:
         """Return whether a target ended, unplanned, while it had a request."""
@@ -96,7 +98,9 @@
             self.presumed_alive.append(interrupted)
         return has_ended
 
-    def find_restarted(self, catalogue: Catalogue, now: Instant) -> list[InterruptedRequest]:
+    def find_restarted(
+        self, catalogue: Catalogue, now: Instant
+    ) -> list[InterruptedRequest]:
         """Return requests whose targets had ended, by what the store lists now."""
         since = now - RESTART_VISIBLE_WITHIN
         while self.presumed_alive and self.presumed_alive[0].at < since:
@@ -134,7 +138,9 @@
     target = interrupted.target
     listed = catalogue.targets.get(target.target_id)
     if listed is not None:
-        return interrupted.incarnation < listed.incarnation and interrupted.incarnation > 0
+        return (
+            interrupted.incarnation < listed.incarnation and interrupted.incarnation > 0
+        )
     return any(
         other.target.address == target.address and other.target.pool == target.pool
         for other in catalogue.targets.values()
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -8,7 +8,7 @@
 from sardinequay_core.rendezvous import rank_members
 from sardinequay_core.residency import HeldAdapters
 from sardinequay_core.service_choice import ServiceOption
-from sardinequay_core.target_choice import EngineOption, AdapterState
+from sardinequay_core.target_choice import AdapterState, EngineOption
 
 from .relay_state import EngineKeeper, RelayState
 from .serving_ports import RequestTerms
@@ -24,7 +24,9 @@
         """Return the targets of a pool that requests may go to."""
         live = self.state.catalogue.live_targets(pool)
         self.state.health.host_count = self.state.fleet.live_hosts
-        usable = self.state.health.usable_targets((t.target.target_id for t in live), now)
+        usable = self.state.health.usable_targets(
+            (t.target.target_id for t in live), now
+        )
         return [t for t in live if t.target.target_id in usable]
 
     def engine_options(
@@ -110,7 +112,8 @@
         In a large fleet only the host that orders an engine knows all its uses.
         """
         is_mine = (
-            self.state.orders is not None and target_id in self.state.orders.managed_engines
+            self.state.orders is not None
+            and target_id in self.state.orders.managed_engines
         )
         if held.idle is not None and not is_mine and not self.state.fleet.is_mesh:
             return held.idle
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -12,10 +12,10 @@
 from sardinequay_core.service_choice import select_target
 from sardinequay_core.target_choice import (
     MAX_WAIT_SHARE,
+    EnginesTooBusy,
     LoadOnEngine,
     NoEngine,
     SendToEngine,
-    EnginesTooBusy,
     select_engine,
 )
 
@@ -102,7 +102,10 @@
         rejection_counts = [exchange.rejections[t.target.target_id] for t in usable]
         if 0 in rejection_counts:
             return NEXT_TARGET_PAUSE_S
-        if min(rejection_counts, default=MAX_REJECTIONS_PER_TARGET) < MAX_REJECTIONS_PER_TARGET:
+        if (
+            min(rejection_counts, default=MAX_REJECTIONS_PER_TARGET)
+            < MAX_REJECTIONS_PER_TARGET
+        ):
             return SAME_TARGET_PAUSE_S
         if exchange.attempts_so_far.runs:
             raise RequestRefusedError(answer_lost_refusal())
@@ -116,7 +119,9 @@
             return answer_lost_refusal()
         text = "no target of the pool is live"
         return not_run_refusal(
-            Reason.NO_TARGET, text, jittered_retry_after(self.state.random, NO_TARGET_RETRY)
+            Reason.NO_TARGET,
+            text,
+            jittered_retry_after(self.state.random, NO_TARGET_RETRY),
         )
 
     async def choose_engine(self, exchange: RelayExchange) -> PublishedTarget:
@@ -129,7 +134,10 @@
         while True:
             now = self.clock.monotonic()
             options = self.options.engine_options(
-                exchange.pool, exchange.terms, exchange.tried, seconds_until(expected_ready_at, now)
+                exchange.pool,
+                exchange.terms,
+                exchange.tried,
+                seconds_until(expected_ready_at, now),
             )
             left_s = exchange.first_event_left_s(now)
             due = self.options.copies_due(terms, len(options))
@@ -144,7 +152,9 @@
                 )
                 return self.state.catalogue.targets[choice.target]
             if not isinstance(choice, LoadOnEngine):
-                raise RequestRefusedError(self.no_engine_refusal(exchange, choice, left_s))
+                raise RequestRefusedError(
+                    self.no_engine_refusal(exchange, choice, left_s)
+                )
             reply = await self.wait_for_load(exchange, choice.target, left_s)
             if reply.is_ready:
                 continue
@@ -152,11 +162,17 @@
             if reply.is_queued:
                 expected_ready_at[choice.target] = now + seconds(reply.expected_s)
                 continue
-            expected_ready_at[choice.target] = now + seconds(reply.expected_s or ASSUMED_QUEUE_WAIT_S)
+            expected_ready_at[choice.target] = now + seconds(
+                reply.expected_s or ASSUMED_QUEUE_WAIT_S
+            )
             failed_requests += 1
             if failed_requests >= MAX_FAILED_LOAD_REQUESTS:
-                busy = EnginesTooBusy(min(seconds_until(expected_ready_at, now).values()))
-                raise RequestRefusedError(self.no_engine_refusal(exchange, busy, left_s))
+                busy = EnginesTooBusy(
+                    min(seconds_until(expected_ready_at, now).values())
+                )
+                raise RequestRefusedError(
+                    self.no_engine_refusal(exchange, busy, left_s)
+                )
 
     def no_engine_refusal(
         self, exchange: RelayExchange, choice: EnginesTooBusy | NoEngine, left_s: float
@@ -170,7 +186,9 @@
             return not_run_refusal(Reason.OVERLOADED, text, wait)
         text = "no engine has the adapter, and none can be ordered to load it now"
         return not_run_refusal(
-            Reason.NO_TARGET, text, jittered_retry_after(self.state.random, NO_KEEPER_RETRY)
+            Reason.NO_TARGET,
+            text,
+            jittered_retry_after(self.state.random, NO_KEEPER_RETRY),
         )
 
     async def wait_for_load(
@@ -250,14 +268,18 @@
                 "running": share.running,
                 "revision": self.state.catalogue.revision,
                 "store_age_s": round(self.state.fleet.freshest_store_age_s(), 2),
-                "attempt": exchange.attempts_so_far.runs + exchange.attempts_so_far.rejections + 1,
+                "attempt": exchange.attempts_so_far.runs
+                + exchange.attempts_so_far.rejections
+                + 1,
                 "expected_s": round(expected_s, 4),
                 "waited_s": round(exchange.waited_s(self.clock.monotonic()), 4),
             },
         )
 
 
-def seconds_until(due: Mapping[TargetId, Instant], now: Instant) -> dict[TargetId, float]:
+def seconds_until(
+    due: Mapping[TargetId, Instant], now: Instant
+) -> dict[TargetId, float]:
     """Return how long it is until each of some moments, in seconds."""
     return {t: max(0.0, (at - now).total_seconds()) for t, at in due.items()}
 
--- a/packages/daemon/src/sardinequay_daemon/target_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/target_probe.py
@@ -26,7 +26,9 @@
 class StatusProbe(Protocol):
     """Asks a target about itself."""
 
-    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(
+        self, target: Target, incarnation: int, health_path: str
+    ) -> ProbeResult:
         """Return what a target shows of the start that had a request.
 
         Parameters
--- a/packages/daemon/src/sardinequay_daemon/upstream.py
+++ b/packages/daemon/src/sardinequay_daemon/upstream.py
@@ -81,7 +81,9 @@
         self.pooled_session = make_session(
             UpstreamConnector(source_ip, keepalive_timeout=KEEPALIVE_S)
         )
-        self.fresh_session = make_session(UpstreamConnector(source_ip, force_close=True))
+        self.fresh_session = make_session(
+            UpstreamConnector(source_ip, force_close=True)
+        )
 
     @asynccontextmanager
     async def send(
@@ -120,7 +122,9 @@
         on_send: Callable[[], None],
     ) -> aiohttp.ClientResponse:
         """Send a request and wait for the head of its answer."""
-        session = self.pooled_session if request.may_reuse_connection else self.fresh_session
+        session = (
+            self.pooled_session if request.may_reuse_connection else self.fresh_session
+        )
         url = URL(f"http://{address}{request.path}", encoded=True)
         send = CountedSend(on_send)
         timer = asyncio.timeout(timeout_s)
--- a/packages/daemon/src/sardinequay_daemon/use_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/use_lease_task.py
@@ -13,7 +13,7 @@
 from returns.result import Failure, Result, Success
 
 from sardinequay_core.clock import Clock, Instant
-from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
+from sardinequay_core.leases import AdapterUse, HolderId, LeaseTable
 from sardinequay_core.membership import Member
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
@@ -82,7 +82,9 @@
 
     async def run(self) -> None:
         """Renew leases for good."""
-        await run_periodically(self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_leases)
+        await run_periodically(
+            self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_leases
+        )
 
     def apply_roster(self, roster: Roster) -> None:
         """Take the list; targets that leave get no new work from now on."""
@@ -170,7 +172,9 @@
         self.record_granted_leases(reply, asked_at, sequence)
         return self.best_lease(adapter) is not None
 
-    def record_granted_leases(self, granted: Granted, asked_at: Instant, sequence: int) -> None:
+    def record_granted_leases(
+        self, granted: Granted, asked_at: Instant, sequence: int
+    ) -> None:
         """Take leases, each counted from before it was asked for."""
         for grant in granted.uses:
             expires_at = asked_at + timedelta(seconds=grant.lasts_s)
@@ -196,7 +200,9 @@
             after = timedelta(seconds=reply.retry_after_s)
             return not_run_refusal(Reason.LOAD_QUEUE_FULL, text, after)
         if not live_engines(self.roster, pool):
-            return not_run_refusal(Reason.NO_TARGET, "no engine is live", NO_KEEPER_RETRY)
+            return not_run_refusal(
+                Reason.NO_TARGET, "no engine is live", NO_KEEPER_RETRY
+            )
         await asyncio.sleep(RETRY_PAUSE_S)
         return None
 
@@ -212,20 +218,26 @@
         """Ask the keeper in the adapter's home, or the next one that can be reached."""
         for data_centre in self.home_data_centres(pool, adapter):
             keepership = Keepership(pool, data_centre)
-            reply = await self.request_from_keeper(keepership, make_message(keepership), timeout_s)
+            reply = await self.request_from_keeper(
+                keepership, make_message(keepership), timeout_s
+            )
             if isinstance(reply, Granted | Wanted):
                 return reply
             self.avoided_data_centres[data_centre] = self.clock.monotonic() + AVOID_FOR
         return None
 
-    def home_data_centres(self, pool: PoolName, adapter: AdapterRef) -> list[DataCentre]:
+    def home_data_centres(
+        self, pool: PoolName, adapter: AdapterRef
+    ) -> list[DataCentre]:
         """Return data centres in the order of the adapter, unreachable ones last."""
         weights: dict[str, float] = {}
         for target in live_engines(self.roster, pool):
             weights[target.data_centre] = weights.get(target.data_centre, 0) + 1
         now = self.clock.monotonic()
         ranked = [DataCentre(n) for n in rank_members_weighted(str(adapter), weights)]
-        return sorted(ranked, key=lambda dc: self.avoided_data_centres.get(dc, now) > now)
+        return sorted(
+            ranked, key=lambda dc: self.avoided_data_centres.get(dc, now) > now
+        )
 
     def keeper_candidates(self, keepership: Keepership) -> Iterator[Address]:
         """Yield hosts to ask, the likely keeper first."""
@@ -249,9 +261,7 @@
         """Ask likely keepers until one is it."""
         for address in self.keeper_candidates(keepership):
             reply = await self.peers.call(address, message, timeout_s)
-            if isinstance(reply, Success) and not isinstance(
-                reply.unwrap(), NotKeeper
-            ):
+            if isinstance(reply, Success) and not isinstance(reply.unwrap(), NotKeeper):
                 return reply.unwrap()
         return PeerError(keepership.data_centre, "no keeper")
 
@@ -265,15 +275,23 @@
     async def renew_leases(self) -> None:
         """Renew all leases, one message to each keeper."""
         self.lease_table.expire_idle(self.clock.monotonic())
-        held = [(k, u, n) for u, n in self.lease_table.held_leases() if (k := self.keepership_of(u))]
+        held = [
+            (k, u, n)
+            for u, n in self.lease_table.held_leases()
+            if (k := self.keepership_of(u))
+        ]
         held.sort(key=lambda item: (item[0].pool, item[0].data_centre))
         renewals = [
-            self.renew_with_keeper(keepership, [(use, count) for _, use, count in group])
+            self.renew_with_keeper(
+                keepership, [(use, count) for _, use, count in group]
+            )
             for keepership, group in groupby(held, key=lambda item: item[0])
         ]
         await asyncio.gather(*renewals)
 
-    async def renew_with_keeper(self, keepership: Keepership, uses: list[tuple[AdapterUse, int]]) -> None:
+    async def renew_with_keeper(
+        self, keepership: Keepership, uses: list[tuple[AdapterUse, int]]
+    ) -> None:
         """Renew leases with one keeper; what it does not renew is recalled."""
         sequence = self.lease_table.next_sequence()
         asked_at = self.clock.monotonic()
--- a/packages/daemon/tests/test_caller_requests.py
+++ b/packages/daemon/tests/test_caller_requests.py
@@ -9,8 +9,8 @@
 from sardinequay_core.approval import root_digest
 from sardinequay_core.bundle import (
     Adapter,
-    BundleBase,
     Bundle,
+    BundleBase,
     Caller,
     Contents,
     PoolSettings,
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -21,10 +21,10 @@
 from sardinequay_daemon.content_guard import ContentGuard
 from sardinequay_daemon.content_messages import AskPermit
 from sardinequay_daemon.content_updates import content_update
-from sardinequay_daemon.target_end_detector import InterruptedRequest
 from sardinequay_daemon.errors import PeerError
 from sardinequay_daemon.guarded_run import GuardedRun
 from sardinequay_daemon.progress import RequestRefusedError
+from sardinequay_daemon.target_end_detector import InterruptedRequest
 
 from .conftest import ManualClock
 
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -167,7 +167,9 @@
 
 
 def test_leaving_peer_still_orders_until_it_gives_the_lease_back(fleet) -> None:
-    fleet.handle_digest(digest("h2", is_leaving=True, holds_lease=True, orders_in_s=0.0))
+    fleet.handle_digest(
+        digest("h2", is_leaving=True, holds_lease=True, orders_in_s=0.0)
+    )
     assert fleet.lease_holder() == "h2"
     assert fleet.keeper_of("za").contact.host_id == "h2"
     fleet.record_lease_returned(HostId("h2"))
@@ -245,7 +247,10 @@
 ) -> None:
     heard_over_time(fleet, clock, seed, hosts)
     now = clock.monotonic()
-    ages_s = [p.store_age_s + (now - p.last_heard_at).total_seconds() for p in fleet.live_peers()]
+    ages_s = [
+        p.store_age_s + (now - p.last_heard_at).total_seconds()
+        for p in fleet.live_peers()
+    ]
     assert fleet.freshest_store_age_s() == min(ages_s, default=FOREVER)
     orderers = [p for p in fleet.recently_heard_peers() if p.orders_in_s < 60]
     centres = {p.contact.data_centre for p in orderers}
@@ -255,7 +260,9 @@
             p.orders_in_s for p in orderers if p.contact.data_centre == centre
         )
         assert keeper.orders_in_s == soonest_s
-    hubs = [p for p in fleet.recently_heard_peers() if p.is_hub and not fleet.is_near(p)]
+    hubs = [
+        p for p in fleet.recently_heard_peers() if p.is_hub and not fleet.is_near(p)
+    ]
     assert set(fleet.other_hubs()) <= set(hubs)
     assert {p.contact.data_centre for p in fleet.other_hubs()} == {
         p.contact.data_centre for p in hubs
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -265,7 +265,9 @@
     world.pass_time(1)
     now = world.clock.monotonic()
     total = 100 * sum(counts.values())
-    assert {h.state.loads.total_share(E, now).unread_tokens for h in world.hosts} == {total}
+    assert {h.state.loads.total_share(E, now).unread_tokens for h in world.hosts} == {
+        total
+    }
     for index, count in counts.items():
         for _ in range(count):
             world.hosts[index].state.loads.record_end(E, 100, had_first_event=False)
@@ -356,7 +358,9 @@
 
 
 def test_data_centre_that_is_cut_off_counts_itself_alone(world: World) -> None:
-    world.hosts[4].state.loads.record_dispatch(E, 700)  # In the data centre that is cut off.
+    world.hosts[4].state.loads.record_dispatch(
+        E, 700
+    )  # In the data centre that is cut off.
     world.pass_time(1)
     world.cut.add("ze")
     world.pass_time(4)
@@ -365,9 +369,9 @@
     assert {h.fleet.live_hosts for h in outside} == {40}
     assert {h.fleet.live_hosts for h in world.live("ze")} == {10}
     assert {h.state.loads.total_share(E, now) for h in outside} == {EngineShare()}
-    assert {h.state.loads.total_share(E, now).unread_tokens for h in world.live("ze")} == {
-        700
-    }
+    assert {
+        h.state.loads.total_share(E, now).unread_tokens for h in world.live("ze")
+    } == {700}
     world.cut.clear()
     world.pass_time(2)
     assert {h.fleet.live_hosts for h in world.hosts} == {50}
@@ -504,7 +508,9 @@
     others = [h for h in world.live("zd") if not h.orders.lease.is_holder]
     for host in others:
         assert lost.me.host_id in host.fleet.voters(seconds(1))
-        assert lost.me.host_id not in {p.contact.host_id for p in host.fleet.live_peers()}
+        assert lost.me.host_id not in {
+            p.contact.host_id for p in host.fleet.live_peers()
+        }
 
 
 def test_store_heard_by_a_hub_elsewhere_grows_old_with_what_it_told(world: World):
