--- a/packages/daemon/tests/test_order_lease_task.py
+++ b/packages/daemon/tests/test_order_lease_task.py
@@ -53,7 +53,15 @@
     clock.advance(imports_s)
     me = HostId("h1")
     made = OrderLeaseTask(
-        me, "za", None, FakeFleet(), clock, Random(1), POLICY, is_first_start, process_started_at
+        me,
+        "za",
+        None,
+        FakeFleet(),
+        clock,
+        Random(1),
+        POLICY,
+        is_first_start,
+        process_started_at,
     )
     made.voter.record_revision(1, 0.0)
     return made
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -8,8 +8,8 @@
 
 from sardinequay_core.catalogue import Catalogue, PublishedTarget
 from sardinequay_core.clock import seconds
-from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.engine_orders import EngineStatus, LoadAdapter
+from sardinequay_core.engine_scheduler import EngineScheduler
 from sardinequay_core.names import (
     AdapterRef,
     Address,
@@ -25,12 +25,12 @@
 from sardinequay_core.serving import (
     CallerLimits,
     EnginePool,
-    TargetPool,
     ServedModel,
+    TargetPool,
     make_serving_config,
 )
-from sardinequay_daemon.order_task import OrderTask
 from sardinequay_daemon.managed_engine import ManagedEngine
+from sardinequay_daemon.order_task import OrderTask
 from sardinequay_daemon.serving_messages import AdapterMissing
 from sardinequay_daemon.serving_metrics import ServingMetrics
 from sardinequay_daemon.serving_ports import OrderAccepted
@@ -117,12 +117,18 @@
     made.catalogue = catalogue(FIRST_INCARNATION)
     made.is_ordering = True
     scheduler = EngineScheduler(E, 2, FIRST_INCARNATION)
-    scheduler.apply_report(status_holding(FIRST_INCARNATION, A), clock.monotonic(), clock.monotonic())
-    made.managed_engines[E] = ManagedEngine(published_engine(FIRST_INCARNATION), scheduler)
+    scheduler.apply_report(
+        status_holding(FIRST_INCARNATION, A), clock.monotonic(), clock.monotonic()
+    )
+    made.managed_engines[E] = ManagedEngine(
+        published_engine(FIRST_INCARNATION), scheduler
+    )
     return made
 
 
-def test_listing_of_a_later_incarnation_resets_the_scheduler(task: OrderTask, clock) -> None:
+def test_listing_of_a_later_incarnation_resets_the_scheduler(
+    task: OrderTask, clock
+) -> None:
     number = task.managed_engines[E].scheduler.change_number
     task.apply_catalogue(catalogue(SECOND_INCARNATION))
     scheduler = task.managed_engines[E].scheduler
@@ -151,7 +157,9 @@
     task: OrderTask, engines
 ) -> None:
     engine = task.managed_engines[E]
-    sending = asyncio.create_task(task.send_order(engine, LoadAdapter(AdapterRef("m/b", "1"))))
+    sending = asyncio.create_task(
+        task.send_order(engine, LoadAdapter(AdapterRef("m/b", "1")))
+    )
     await asyncio.sleep(0)
     task.apply_catalogue(catalogue(SECOND_INCARNATION))
     engines.may_answer.set()
@@ -160,9 +168,13 @@
     assert engine.scheduler.accepted_orders is None
 
 
-async def test_missing_adapter_report_of_the_previous_incarnation_is_ignored(task: OrderTask) -> None:
+async def test_missing_adapter_report_of_the_previous_incarnation_is_ignored(
+    task: OrderTask,
+) -> None:
     scheduler = task.managed_engines[E].scheduler
-    later = replace(published_engine(SECOND_INCARNATION), incarnation=SECOND_INCARNATION)
+    later = replace(
+        published_engine(SECOND_INCARNATION), incarnation=SECOND_INCARNATION
+    )
     task.reset_scheduler(task.managed_engines[E], later)
     scheduler = task.managed_engines[E].scheduler
     now = task.clock.monotonic() + seconds(9)
@@ -173,9 +185,7 @@
     assert scheduler.open_adapters() == ()
 
 
-def test_recent_holdings_are_cached_for_many_hosts(
-    task: OrderTask, clock
-) -> None:
+def test_recent_holdings_are_cached_for_many_hosts(task: OrderTask, clock) -> None:
     first = task.recent_holdings()
     assert first[0].adapters == (A,)
     assert task.recent_holdings() is first
--- a/packages/daemon/tests/test_rollout_task.py
+++ b/packages/daemon/tests/test_rollout_task.py
@@ -7,7 +7,12 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from returns.result import Failure, Result, Success
 
-from sardinequay_core.approval import SignedRoot, ApprovalPolicy, add_approval, encode_signed_root
+from sardinequay_core.approval import (
+    ApprovalPolicy,
+    SignedRoot,
+    add_approval,
+    encode_signed_root,
+)
 from sardinequay_core.bundle import Contents, build_bundle
 from sardinequay_core.names import Digest
 from sardinequay_core.rollout import Confirmation
@@ -25,7 +30,9 @@
 
 def published(version: int) -> tuple[bytes, Mapping[Digest, bytes]]:
     built = build_bundle(Contents(), version)
-    return encode_signed_root(add_approval(SignedRoot(built.root), "ana", KEY)), built.blobs
+    return encode_signed_root(
+        add_approval(SignedRoot(built.root), "ana", KEY)
+    ), built.blobs
 
 
 class FakeService:
--- a/packages/daemon/tests/test_settings.py
+++ b/packages/daemon/tests/test_settings.py
@@ -55,7 +55,9 @@
 def test_bad_settings_are_refused(
     raw_settings: dict[str, Any], path: str, value: Any, snapshot: Any
 ) -> None:
-    error = parse_settings(json.dumps(with_changed_field(raw_settings, path, value))).failure()
+    error = parse_settings(
+        json.dumps(with_changed_field(raw_settings, path, value))
+    ).failure()
     assert str(error) == snapshot
 
 
--- a/packages/daemon/tests/test_target_end_detector.py
+++ b/packages/daemon/tests/test_target_end_detector.py
@@ -16,7 +16,11 @@
 )
 from sardinequay_core.roster import Target, TargetKind
 from sardinequay_daemon.connection_probe import ConnectionProbe
-from sardinequay_daemon.target_end_detector import RESTART_VISIBLE_WITHIN, InterruptedRequest, TargetEndDetector
+from sardinequay_daemon.target_end_detector import (
+    RESTART_VISIBLE_WITHIN,
+    InterruptedRequest,
+    TargetEndDetector,
+)
 from sardinequay_daemon.target_probe import ProbeResult, TargetProbe
 from sardinequay_lab.ports import free_port
 
@@ -63,7 +67,9 @@
 
 
 @pytest.fixture
-def detector(alive_check: FakeAliveCheck, live: set[TargetId], ended: list[PoolName]) -> TargetEndDetector:
+def detector(
+    alive_check: FakeAliveCheck, live: set[TargetId], ended: list[PoolName]
+) -> TargetEndDetector:
     return TargetEndDetector(alive_check.is_alive, live.__contains__, ended.append)
 
 
@@ -76,7 +82,9 @@
     assert not await detector.has_ended_during(broken("c1"))
 
 
-async def test_concurrent_interruptions_share_one_probe(detector, alive_check, ended) -> None:
+async def test_concurrent_interruptions_share_one_probe(
+    detector, alive_check, ended
+) -> None:
     found = await asyncio.gather(*(detector.has_ended_during(broken(c)) for c in "abc"))
     assert found == [True, True, True]
     assert alive_check.count == 1
@@ -112,7 +120,9 @@
     def __init__(self, sign: ProbeResult) -> None:
         self.sign = sign
 
-    async def probe_status(self, target: Target, incarnation: int, health_path: str) -> ProbeResult:
+    async def probe_status(
+        self, target: Target, incarnation: int, health_path: str
+    ) -> ProbeResult:
         return self.sign
 
 
@@ -133,8 +143,12 @@
         (ProbeResult.NO_ANSWER, True, True),
     ],
 )
-async def test_probe_result_decides_whether_target_is_alive(sign, is_busy, lives) -> None:
-    probe = TargetProbe(accepts, FakeStatusProbe(sign), lambda _: is_busy, lambda _: "/health")
+async def test_probe_result_decides_whether_target_is_alive(
+    sign, is_busy, lives
+) -> None:
+    probe = TargetProbe(
+        accepts, FakeStatusProbe(sign), lambda _: is_busy, lambda _: "/health"
+    )
     assert await probe.is_alive(broken("c").target, 7) is lives
 
 
@@ -163,7 +177,9 @@
     assert not detector.find_restarted(catalogue, seconds(11))
 
 
-async def test_start_long_after_a_broken_answer_is_ignored(detector, alive_check) -> None:
+async def test_start_long_after_a_broken_answer_is_ignored(
+    detector, alive_check
+) -> None:
     alive_check.is_up = True
     await detector.has_ended_during(replace(broken("c"), at=seconds(10)))
     late = seconds(10.1) + RESTART_VISIBLE_WITHIN
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -11,10 +11,10 @@
 from opentelemetry.trace import INVALID_SPAN
 
 from sardinequay_core.catalogue import (
-    RemovalPolicy,
     Catalogue,
     ConfigPublished,
     PublishedTarget,
+    RemovalPolicy,
     TargetPublished,
     apply_change,
 )
@@ -34,11 +34,11 @@
 from sardinequay_core.serving import (
     CallerLimits,
     EnginePool,
-    TargetPool,
+    PoolShare,
     Repetition,
     Route,
     ServedModel,
-    PoolShare,
+    TargetPool,
     make_serving_config,
 )
 from sardinequay_daemon.attempt import RelayDependencies
@@ -78,7 +78,9 @@
 
 def catalogue_of(*engines: TargetPublished) -> Catalogue:
     pool = EnginePool(8, 10_000, 100, 2, 2, (ServedModel("m", 10, 9, 1),))
-    config = make_serving_config(1, (ROUTE,), (TargetPool(POOL, 9, pool),), CallerLimits())
+    config = make_serving_config(
+        1, (ROUTE,), (TargetPool(POOL, 9, pool),), CallerLimits()
+    )
     made = apply_change(ConfigPublished(config), Catalogue(), RemovalPolicy())
     for published in engines:
         made = apply_change(published, made, RemovalPolicy())
@@ -129,7 +131,9 @@
 @pytest.fixture
 def picker(state: RelayState, load_client: FakeLoadRequestClient) -> TargetPicker:
     metrics = ServingMetrics("h1", "za")
-    return TargetPicker(RelayDependencies(state, None, None, load_client, metrics, None))
+    return TargetPicker(
+        RelayDependencies(state, None, None, load_client, metrics, None)
+    )
 
 
 FOUR_SECONDS = seconds(4)
@@ -213,7 +217,9 @@
     assert made.first_event_left_s(clock.monotonic()) == pytest.approx(0.2)
 
 
-async def test_adapter_is_loaded_only_where_its_model_is(picker, load_client, clock, state):
+async def test_adapter_is_loaded_only_where_its_model_is(
+    picker, load_client, clock, state
+):
     other = engine("e4")
     published = other.published
     lacking = TargetPublished(replace(published, models=frozenset({"n"})))
@@ -234,7 +240,9 @@
     assert chosen.target.target_id == second
 
 
-async def test_queued_request_stays_on_the_engine_with_the_shortest_wait(picker, load_client, clock):
+async def test_queued_request_stays_on_the_engine_with_the_shortest_wait(
+    picker, load_client, clock
+):
     queued = WantReply(False, "queued", 0.05, is_queued=True)
     load_client.replies = [queued] * (MAX_FAILED_LOAD_REQUESTS + 1)
     await picker.choose(exchange(clock, "a9"))
@@ -292,4 +300,6 @@
     assert len({ask.target for ask in load_client.requests}) == 3
     held.set()
     chosen = await asyncio.gather(*waiting)
-    assert [c.target.target_id for c in chosen] == [a.target for a in load_client.requests]
+    assert [c.target.target_id for c in chosen] == [
+        a.target for a in load_client.requests
+    ]
--- a/packages/daemon/tests/test_wire.py
+++ b/packages/daemon/tests/test_wire.py
@@ -18,11 +18,11 @@
     MAX_BODY_BYTES,
     Frame,
     FrameError,
-    FrameReader,
     FrameKind,
+    FrameReader,
+    decode_message,
     encode_frame,
     encode_message,
-    decode_message,
 )
 
 ADDRESS = Address("127.0.0.1", 1)
@@ -79,6 +79,10 @@
     assert decode_message(frame).records == records
     bomb = zlib.compress(b"0" * (MAX_BODY_BYTES + 1))
     with pytest.raises(FrameError, match="exceeds"):
-        decode_message(Frame(FrameKind.REQUEST, 1, "Handover", bomb, is_compressed=True))
+        decode_message(
+            Frame(FrameKind.REQUEST, 1, "Handover", bomb, is_compressed=True)
+        )
     with pytest.raises(FrameError):
-        decode_message(Frame(FrameKind.REQUEST, 1, "Handover", b"plain", is_compressed=True))
+        decode_message(
+            Frame(FrameKind.REQUEST, 1, "Handover", b"plain", is_compressed=True)
+        )
--- a/packages/lab/src/sardinequay_lab/bundle_world.py
+++ b/packages/lab/src/sardinequay_lab/bundle_world.py
@@ -20,9 +20,9 @@
 
 from sardinequay_core import rollout
 from sardinequay_core.approval import (
-    SignedRoot,
     ApprovalPolicy,
     RootComparison,
+    SignedRoot,
     add_approval,
     compare_roots,
     encode_signed_root,
--- a/packages/lab/src/sardinequay_lab/claim_world.py
+++ b/packages/lab/src/sardinequay_lab/claim_world.py
@@ -35,7 +35,10 @@
 HOME = DataCentre("home")
 KEYS = ("k1",)
 POLICY = ClaimPolicy(
-    retention=seconds(100), vote_window=seconds(2), listing_timeout=seconds(600), max_list_lag=seconds(10)
+    retention=seconds(100),
+    vote_window=seconds(2),
+    listing_timeout=seconds(600),
+    max_list_lag=seconds(10),
 )
 MAX_MESSAGES = 40
 MAX_ATTEMPTS = 8
--- a/packages/lab/src/sardinequay_lab/gossip_run.py
+++ b/packages/lab/src/sardinequay_lab/gossip_run.py
@@ -95,6 +95,8 @@
     new = Member(HostId("new"), Address("127.0.0.1", 9999), 1)
     run.join(new, [view.self_member for view in run.views.values()])
     joined = run.steps_until(
-        lambda view: new.host_id in view.records or view.self_member.host_id == new.host_id
+        lambda view: (
+            new.host_id in view.records or view.self_member.host_id == new.host_id
+        )
     )
     return bytes_per_s, detected, joined
--- a/packages/lab/src/sardinequay_lab/lease_mutations.py
+++ b/packages/lab/src/sardinequay_lab/lease_mutations.py
@@ -8,7 +8,7 @@
 
 from sardinequay_core.clock import Instant
 from sardinequay_core.keeper import Keeper
-from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
+from sardinequay_core.leases import AdapterUse, HolderId, LeaseTable
 
 from .exploration import Mutations
 from .lease_world import POLICY
--- a/packages/lab/src/sardinequay_lab/lease_world.py
+++ b/packages/lab/src/sardinequay_lab/lease_world.py
@@ -11,7 +11,6 @@
 from typing import Any
 
 from sardinequay_core.clock import Instant, seconds
-from sardinequay_core.keeper import SUFFIX_BITS, Keeper
 from sardinequay_core.engine_record import (
     EngineReport,
     KeeperPolicy,
@@ -19,7 +18,8 @@
     RecallCommand,
     UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
+from sardinequay_core.keeper import SUFFIX_BITS, Keeper
+from sardinequay_core.leases import AdapterUse, HolderId, LeaseTable
 from sardinequay_core.load_queue import LoadPolicy
 from sardinequay_core.names import (
     AdapterRef,
@@ -171,7 +171,9 @@
             for name in self.keepers:
                 actions.append(("renew", holder, name))
                 actions += [("acquire", holder, name, n) for n in range(len(ADAPTERS))]
-            usable = [n for n, a in enumerate(ADAPTERS) if table.usable_uses(a, self.now)]
+            usable = [
+                n for n, a in enumerate(ADAPTERS) if table.usable_uses(a, self.now)
+            ]
             actions += [("begin", holder, n) for n in usable]
         actions += [("end", n) for n in range(len(self.engine.running))]
         return actions
@@ -214,7 +216,9 @@
         """Have somebody wait for an adapter at a keeper."""
         self.tickets += 1
         deadline = self.now + seconds(60)
-        self.keepers[name].handle_load_request(self.tickets, ADAPTERS[number], deadline, self.now)
+        self.keepers[name].handle_load_request(
+            self.tickets, ADAPTERS[number], deadline, self.now
+        )
 
     def do_acquire(self, holder: str, name: str, number: int) -> None:
         """Have a holder ask for leases."""
@@ -417,7 +421,9 @@
         """Let a keeper take a lease back that nothing runs on."""
         use, in_flight = packet.message
         if not in_flight:
-            packet.keeper.handle_lease_return(HolderId(packet.holder), use, packet.sequence)
+            packet.keeper.handle_lease_return(
+                HolderId(packet.holder), use, packet.sequence
+            )
 
     def take_give_back(self, packet: Packet) -> None:
         """Let a keeper take a lease back."""
--- a/packages/lab/src/sardinequay_lab/placement_policies.py
+++ b/packages/lab/src/sardinequay_lab/placement_policies.py
@@ -5,7 +5,6 @@
 from itertools import cycle
 
 from sardinequay_core.clock import Instant, seconds
-from sardinequay_core.keeper import Keeper
 from sardinequay_core.engine_record import (
     EngineReport,
     KeeperPolicy,
@@ -13,8 +12,9 @@
     RecallCommand,
     UnloadCommand,
 )
-from sardinequay_core.leases import HolderId, AdapterUse
-from sardinequay_core.load_queue import RejectWaiter, LoadPolicy
+from sardinequay_core.keeper import Keeper
+from sardinequay_core.leases import AdapterUse, HolderId
+from sardinequay_core.load_queue import LoadPolicy, RejectWaiter
 from sardinequay_core.names import (
     AdapterRef,
     Address,
@@ -198,7 +198,9 @@
             return
         job.stalled = True
         deadline = seconds(1000 + job.deadline_s)
-        given_up = side.keeper.handle_load_request(job.number, job.adapter, deadline, self.now())
+        given_up = side.keeper.handle_load_request(
+            job.number, job.adapter, deadline, self.now()
+        )
         if given_up is not None:
             self.sim.finish(job, "refused")
             return
@@ -208,7 +210,9 @@
     def submit(self, side: KeeperSide, job: Job) -> bool:
         """Put a request on the least busy engine with a lease, if there is one."""
         self.sequence += 1
-        granted = side.keeper.handle_acquire(HOLDER, job.adapter, self.sequence, self.now())
+        granted = side.keeper.handle_acquire(
+            HOLDER, job.adapter, self.sequence, self.now()
+        )
         if not granted:
             return False
         engines = [side.engines[use.target] for use, _ in granted]
@@ -293,7 +297,9 @@
         else:
             self.sim.order_load(engine, command.use.adapter)
 
-    def recall(self, side: KeeperSide, engine: EngineSim, command: RecallCommand) -> None:
+    def recall(
+        self, side: KeeperSide, engine: EngineSim, command: RecallCommand
+    ) -> None:
         """Answer a recall: return the lease if nothing runs on it."""
         if not engine.uses(command.use.adapter):
             self.sim.after(0.001, lambda: self.give_back(side, command.use))
--- a/packages/lab/src/sardinequay_lab/quota_policies.py
+++ b/packages/lab/src/sardinequay_lab/quota_policies.py
@@ -10,7 +10,7 @@
 from sardinequay_core.names import HostId
 from sardinequay_core.organisations import OrganisationName
 from sardinequay_core.quota_ledger import Admitted, QuotaLedger, QuotaPolicy
-from sardinequay_core.usage_view import UsageCounts, ReportedUsage
+from sardinequay_core.usage_view import ReportedUsage, UsageCounts
 
 from .quota_world import ORGANISATION, REACH_LOST_S, Scenario
 
@@ -65,7 +65,9 @@
             live = 1
             assumed = ASSUMED_HOSTS if up_s < JOINS_AFTER_S else self.scenario.hosts
         self.shares[host].record_live_hosts(live, now)
-        self.books[host].apply_share(self.shares[host].reachable_share(live, assumed), now)
+        self.books[host].apply_share(
+            self.shares[host].reachable_share(live, assumed), now
+        )
 
     def exchange(self, host: int, now: Instant) -> None:
         """Let a host exchange with its hub, or a hub with the other hubs."""
@@ -96,7 +98,9 @@
 
     def tell_hub(self, hub: int, other: int, now: Instant) -> None:
         """Tell another hub the sum of a data centre."""
-        counts = self.books[hub].usage.data_centre_counts(now, self.at_first(hub, other))
+        counts = self.books[hub].usage.data_centre_counts(
+            now, self.at_first(hub, other)
+        )
         self.tell(hub, other, DigestScope.DATA_CENTRE, counts, now)
 
     def at_first(self, sender: int, to: int) -> tuple[OrganisationName, ...]:
@@ -107,7 +111,12 @@
         return (ORGANISATION,)
 
     def tell(
-        self, sender: int, to: int, scope: DigestScope, counts: UsageCounts, now: Instant
+        self,
+        sender: int,
+        to: int,
+        scope: DigestScope,
+        counts: UsageCounts,
+        now: Instant,
     ) -> None:
         """Tell one host."""
         self.messages += 1
--- a/packages/lab/src/sardinequay_lab/repeat_policies.py
+++ b/packages/lab/src/sardinequay_lab/repeat_policies.py
@@ -128,7 +128,9 @@
         """Take a repeat if those known leave room for one of each host."""
         share = self.shares[host]
         share.record_live_hosts(len(heard), now)
-        slack = self.bound.slack * USED_SLACK_SHARE * share.reachable_share(len(heard), 1)
+        slack = (
+            self.bound.slack * USED_SLACK_SHARE * share.reachable_share(len(heard), 1)
+        )
         if now - self.born[host] < self.bound.window and self.born[host] > ZERO:
             slack = 0
         requests = self.known(self.requests, host, heard, now)
--- a/packages/lab/src/sardinequay_lab/slopes.py
+++ b/packages/lab/src/sardinequay_lab/slopes.py
@@ -27,9 +27,9 @@
 from sardinequay_core.bundle_lint import lint_contents
 from sardinequay_core.claims import ClaimPolicy, ClaimRequest, Guard
 from sardinequay_core.clock import seconds
-from sardinequay_core.keeper import Keeper
 from sardinequay_core.engine_record import EngineReport, KeeperPolicy, LoadCommand
-from sardinequay_core.leases import HolderId, LeaseTable, AdapterUse
+from sardinequay_core.keeper import Keeper
+from sardinequay_core.leases import AdapterUse, HolderId, LeaseTable
 from sardinequay_core.load_queue import LoadPolicy
 from sardinequay_core.names import (
     AdapterRef,
@@ -296,7 +296,9 @@
             (engines, timed(keeper.handle_acquire, holder, R0, 1, NOW, times=500))
         )
         for n in range(64):
-            keeper.handle_load_request(n, AdapterRef(f"c{n}", "1"), NOW + seconds(60), NOW)
+            keeper.handle_load_request(
+                n, AdapterRef(f"c{n}", "1"), NOW + seconds(60), NOW
+            )
         ticks.append((engines, timed(keeper.tick, NOW, times=20)))
     tell("one acquire by engines, microseconds", "us", "engine", by_engines)
     tell("one tick with 64 adapters waited for, microseconds", "us", "engine", ticks)
@@ -306,7 +308,9 @@
         wants.append(
             (
                 adapters,
-                timed(keeper.handle_load_request, 1, W7, NOW + seconds(60), NOW, times=500),
+                timed(
+                    keeper.handle_load_request, 1, W7, NOW + seconds(60), NOW, times=500
+                ),
             )
         )
     tell("one placement decision by adapters in demand, us", "us", "adapter", wants)
@@ -318,12 +322,16 @@
     for held in (10, 50, 200):
         table = LeaseTable()
         for n in range(held):
-            use = AdapterUse(AdapterRef(f"style-{n:05}", "1"), TargetId("engine-tukwila-1"))
+            use = AdapterUse(
+                AdapterRef(f"style-{n:05}", "1"), TargetId("engine-tukwila-1")
+            )
             table.record_grant(use, NOW, table.next_sequence())
         keepership = KeepershipId(PoolName("kiosk-lm"), DataCentre("tukwila"))
         uses = tuple(table.held_leases())
         message = Renew(keepership, HolderId("tukwila-0#1"), "127.0.0.1:1", uses, 1)
-        points.append((held, len(encode_frame(encode_message(FrameKind.REQUEST, 1, message)))))
+        points.append(
+            (held, len(encode_frame(encode_message(FrameKind.REQUEST, 1, message))))
+        )
     tell("one renewal by leases held, bytes", "bytes", "lease", points)
 
 
--- a/packages/lab/tests/test_ports.py
+++ b/packages/lab/tests/test_ports.py
@@ -14,7 +14,11 @@
 from sardinequay_core.leases import AdapterUse
 from sardinequay_core.names import AdapterRef, Address, DataCentre, PoolName, TargetId
 from sardinequay_core.roster import Target, TargetKind
-from sardinequay_daemon.engine_client import EngineRequest, HttpEngineClient, read_events
+from sardinequay_daemon.engine_client import (
+    EngineRequest,
+    HttpEngineClient,
+    read_events,
+)
 from sardinequay_daemon.errors import TargetError, TargetFault
 from sardinequay_daemon.metrics import Metrics
 from sardinequay_daemon.platform import (
@@ -187,7 +191,11 @@
     [("gone@1", TargetFault.NOT_LOADED, True)],
 )
 async def test_adapter_that_is_not_loaded_proves_not_run(
-    engine: Target, engines: HttpEngineClient, model: str, fault: TargetFault, proves: bool
+    engine: Target,
+    engines: HttpEngineClient,
+    model: str,
+    fault: TargetFault,
+    proves: bool,
 ) -> None:
     with pytest.raises(TargetError) as caught:
         async with engines.send_request(engine.address, request(model)):
