--- a/packages/daemon/src/sardinequay_daemon/caller_admission.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_admission.py
@@ -106,7 +106,8 @@
         text = (
             f"organisation {over.organisation} asks for {over.asked_per_s:.0f} of"
             f" {over.rate_per_s:.0f} a second, has {over.remaining:.0f} left, known"
-            f" {over.data_age.total_seconds():.2f} s ago; this request counts {over.cost}"
+            f" {over.data_age.total_seconds():.2f} s ago; this request"
+            f" counts {over.cost}"
         )
         if over.retry_after is None:
             return not_run_refusal(Reason.OVER_QUOTA, f"{text}, more than ever fits")
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -74,7 +74,13 @@
     async def hold_claim(
         self, envelope: RequestEnvelope, progress: Progress, parent: Span
     ) -> AsyncIterator[None]:
-        """Hold a request's key while it runs; raises `RequestRefusedError` if it is not won."""
+        """Hold the claim on a request's idempotency key while the request runs.
+
+        Raises
+        ------
+        RequestRefusedError
+            If the claim is not won.
+        """
         won = await self.claim_request_key(envelope, parent)
         ran = False
         try:
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -125,7 +125,13 @@
     async def stream_events(
         self, request: ModelRequest, progress: Progress, span: Span
     ) -> AsyncGenerator[EventBatch, None]:
-        """Yield the answer's events; raises `RequestRefusedError` when it cannot be completed."""
+        """Yield the answer's events.
+
+        Raises
+        ------
+        RequestRefusedError
+            If the answer cannot be completed.
+        """
         run = make_guarded_run(request.envelope, "POST", request.path, request.body)
         async with self.claimer.hold_claim(request.envelope, progress, span):
             try:
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -188,7 +188,8 @@
 class ForwardedRequest:
     """One request on its way; a context that yields the target's answer.
 
-    Entering raises `RequestRefusedError` if no target gives an answer; leaving settles the key.
+    Entering raises `RequestRefusedError` if no target gives an answer; leaving settles
+    the key.
     """
 
     def __init__(
