--- a/packages/daemon/src/sardinequay_daemon/wire.py
+++ b/packages/daemon/src/sardinequay_daemon/wire.py
@@ -22,14 +22,14 @@
 """Above the largest honest frame: a page of a handover, or the leaves of a bundle."""
 
 
-MESSAGE_TYPES: dict[str, type] = {}
+BY_TAG: dict[str, type] = {}
 """Types of messages by their tag. Modules that define messages enter them, so that a
 host loads only those that it speaks, and starts sooner."""
 
 
 def register_messages(kinds: Iterable[type]) -> None:
     """Enter types of messages that frames may carry."""
-    MESSAGE_TYPES.update({kind.__name__: kind for kind in kinds})
+    BY_TAG.update({kind.__name__: kind for kind in kinds})
 
 
 class FrameKind(IntEnum):
@@ -101,7 +101,7 @@
 
 def decode_message(frame: Frame) -> Any:
     """Return the message that a frame carries, checked against its type."""
-    kind = MESSAGE_TYPES.get(frame.tag)
+    kind = BY_TAG.get(frame.tag)
     if kind is None:
         raise FrameError(f"unknown message {frame.tag!r}")
     try:
