--- a/packages/core/src/sardinequay_core/adapter_demand.py
+++ b/packages/core/src/sardinequay_core/adapter_demand.py
@@ -1,10 +1,11 @@
-"""How many engines of a large fleet an adapter should be on, by what callers ask for.
-
-Load pattern: steeply skewed demand before dozens of engines. The adapter most asked for
-gets a fifth of all requests; of 39 engines that is the work of eight. Decided by each
-request's own wait, further copies come late and one by one, when the queues on the few
-engines that hold it have grown by seconds. Counted together, its share of all requests
-says how many engines it is due, before anybody waits.
+"""How many engines of a large fleet should hold an adapter, by its share of requests.
+
+Load pattern: steeply skewed demand on dozens of engines. The most requested adapter
+gets a fifth of all requests, which of 39 engines is the work of eight. When each
+request decides by its own wait, extra copies come late and one by one, after the queues
+on the few engines that hold the adapter have grown by seconds. An adapter's share of
+all requests, summed over hosts, gives the desired number of copies before any request
+waits.
 """
 
 import math
@@ -15,25 +16,26 @@
 from .names import HostId
 
 HALF_LIFE = seconds(4)
-"""Half-life of a request: demand moves to other adapters within seconds."""
+"""Half-life of a counted request: demand shifts to other adapters within seconds."""
 
 PEER_EXPIRY = seconds(3)
-"""How long what a silent peer told counts."""
+"""How long the last report of a silent peer counts."""
 
 MIN_COUNT = 0.2
-"""Requests below which an adapter is forgotten: three half-lives after its last one."""
+"""Decayed requests below which an adapter is dropped: three half-lives after its last
+request."""
 
 COUNT_SCALE = 10
-"""Counts are told as whole tenths of a request."""
+"""Units per request in reported counts, which are whole tenths of a request."""
 
 HEADROOM = 1.3
 """Engines for each engine's worth of requests: requests come in bursts, and engines
-have those of other adapters, too."""
+also serve other adapters."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Recent requests, the older the less, in tenths of a request.
+    """Decayed counts of recent requests, in tenths of a request.
 
     Parameters
     ----------
@@ -52,14 +54,15 @@
 
 @dataclass(slots=True)
 class AdapterDemand:
-    """Demand that this host and its peers see.
+    """Demand for adapters that this host and its peers see.
 
     Parameters
     ----------
     counts : dict
-        This host's own, as of `counted_at`.
+        This host's own counts, as of `counted_at`.
     peers : dict
-        What each peer told: its own demand, or that of all hosts behind it.
+        Latest report of each peer: its own demand, or the sum of all hosts that it
+        reports for.
     """
 
     counts: dict[str, float] = field(default_factory=dict)
@@ -67,42 +70,42 @@
     peers: dict[HostId, tuple[Demand, Instant]] = field(default_factory=dict)
 
     def record_request(self, adapter: str, now: Instant) -> None:
-        """Count one request."""
+        """Count one request for an adapter."""
         self.decay(now)
         self.counts[adapter] = self.counts.get(adapter, 0.0) + 1.0
 
     def decay(self, now: Instant) -> None:
-        """Let what was counted age."""
-        part = math.exp2(-((now - self.counted_at) / HALF_LIFE))
+        """Decay the counts up to now and drop those that are too small."""
+        factor = math.exp2(-((now - self.counted_at) / HALF_LIFE))
         self.counted_at = now
-        faded = {a: count * part for a, count in self.counts.items()}
-        self.counts = {a: c for a, c in faded.items() if c >= MIN_COUNT}
+        decayed = {a: count * factor for a, count in self.counts.items()}
+        self.counts = {a: c for a, c in decayed.items() if c >= MIN_COUNT}
 
     def own_demand(self, now: Instant) -> Demand:
-        """Return what this host's callers ask for."""
+        """Return the demand of this host's callers."""
         self.decay(now)
-        told = {a: round(c * COUNT_SCALE) for a, c in self.counts.items()}
-        return Demand(sum(told.values()), told)
+        scaled = {a: round(c * COUNT_SCALE) for a, c in self.counts.items()}
+        return Demand(sum(scaled.values()), scaled)
 
     def apply_peer_demand(self, host: HostId, demand: Demand, now: Instant) -> None:
-        """Take what a peer tells; it replaces what it told before."""
+        """Replace the demand that a peer reported before."""
         self.peers[host] = (demand, now)
 
     def apply_fleet_demand(self, host: HostId, demand: Demand, now: Instant) -> None:
-        """Take from one peer what the callers of all others ask for."""
+        """Replace the reports of all peers by the hub's sum over all other hosts."""
         self.peers = {host: (demand, now)}
 
     def forget_peer(self, host: HostId) -> None:
-        """Drop what a peer told."""
+        """Drop the demand that a peer reported."""
         self.peers.pop(host, None)
 
     def summed_demand(self, hosts: Iterable[HostId], now: Instant) -> Demand:
-        """Return the demand of this host and some peers together."""
-        mine = self.own_demand(now)
-        total, by_adapter = mine.total, dict(mine.by_adapter)
+        """Return the sum of the demand of this host and the given peers."""
+        own = self.own_demand(now)
+        total, by_adapter = own.total, dict(own.by_adapter)
         for host in hosts:
-            demand, at = self.peers.get(host, (NO_DEMAND, now))
-            if now - at >= PEER_EXPIRY:
+            demand, reported_at = self.peers.get(host, (NO_DEMAND, now))
+            if now - reported_at >= PEER_EXPIRY:
                 continue
             total += demand.total
             for adapter, count in demand.by_adapter.items():
@@ -110,7 +113,7 @@
         return Demand(total, by_adapter)
 
     def desired_copies(self, adapter: str, engines: int, now: Instant) -> int:
-        """Return on how many of some engines an adapter should be."""
+        """Return how many of a number of engines should hold an adapter."""
         demand = self.summed_demand(self.peers, now)
         if not demand.total:
             return 1
@@ -119,7 +122,7 @@
 
 
 def popular_demand(demand: Demand, engines: int) -> Demand:
-    """Return a demand without the adapters that one engine carries easily."""
-    least = demand.total / max(1, engines) / 2
-    kept = {a: c for a, c in demand.by_adapter.items() if c >= least}
+    """Return a demand without the adapters that need less than half an engine."""
+    min_count = demand.total / max(1, engines) / 2
+    kept = {a: c for a, c in demand.by_adapter.items() if c >= min_count}
     return Demand(demand.total, kept)
--- a/packages/core/src/sardinequay_core/admission.py
+++ b/packages/core/src/sardinequay_core/admission.py
@@ -1,4 +1,4 @@
-"""Limits at the door: concurrency by priority, and the budget for retries."""
+"""Admission control: concurrency limits by priority, and retry budgets."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionPolicy:
-    """How much a host takes on.
+    """Limits on the requests that a host accepts.
 
     Parameters
     ----------
     max_in_flight : int
         Requests in flight at once.
     reserved_share : float
-        Share of places that only the highest priority reaches, 0 to 1. Priorities in
-        between reach into it in proportion.
+        Share of the places that only the highest priority can use in full, 0 to 1.
+        Priorities in between may use it in proportion.
     """
 
     max_in_flight: int = 512
@@ -32,13 +32,13 @@
     in_flight: int = 0
 
     def capacity(self, priority: int) -> float:
-        """Return how many places requests of a priority may fill."""
+        """Return how many requests in flight a priority may fill up to."""
         reserved = self.policy.max_in_flight * self.policy.reserved_share
         open_to_all = self.policy.max_in_flight - reserved
         return open_to_all + reserved * priority / MAX_PRIORITY
 
     def try_enter(self, priority: int) -> bool:
-        """Count a request in if there is a place for its priority."""
+        """Count a request in if its priority has capacity; return whether it has."""
         if self.in_flight >= self.capacity(priority):
             return False
         self.in_flight += 1
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How many further attempts are worth it.
+    """Bounds on retries.
 
     Parameters
     ----------
     ratio : float
-        Further attempts earned by each first attempt.
+        Retries earned by each first attempt.
     max_saved : float
-        Further attempts that may be saved up.
+        Retries that may be saved up.
     max_attempts : int
         Attempts for one request, the first included.
     """
@@ -70,11 +70,11 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries that a pool can bear: a share of its first attempts.
+    """Retries allowed for a pool: a share of its first attempts.
 
-    A host that starts does not know what it sent before, so it begins with one retry,
-    not with all that may be saved: hosts that start again and again would have that
-    each time.
+    A host that starts does not know what it sent before, so it begins with one retry
+    and not with the full savings: hosts that restart repeatedly would get the full
+    savings each time.
     """
 
     policy: RetryPolicy
@@ -85,7 +85,7 @@
         self.saved = min(self.policy.max_saved, self.saved + self.policy.ratio)
 
     def try_spend(self, attempts: int) -> bool:
-        """Return whether a request with so many attempts may make another."""
+        """Spend a retry on a request, by its attempts; return whether it is allowed."""
         if attempts >= self.policy.max_attempts or self.saved < 1:
             return False
         self.saved -= 1
--- a/packages/core/src/sardinequay_core/content.py
+++ b/packages/core/src/sardinequay_core/content.py
@@ -1,7 +1,7 @@
-"""What a request is, whichever attempt, host or id brings it.
+"""Id of a request's content, the same for each attempt, host and request id.
 
-A caller that comes again chooses a new request id. What it asks for stays the same, and
-with it what the request does to the target that runs it.
+A caller that retries chooses a new request id. The content of the request stays the
+same, and with it the effect on the target that runs the request.
 """
 
 from hashlib import blake2b
@@ -9,23 +9,24 @@
 from .names import ContentId
 
 ID_BYTES = 16
-"""Size of an id: nobody finds a second content with the id of a given one."""
+"""Size of an id in bytes, large enough that nobody finds a second content with the id
+of a given one."""
 
 
 def content_id(
     method: str, host: str, path: str, caller: str, body: bytes
 ) -> ContentId:
-    """Return the id of what a request asks for.
+    """Return the id of a request's content.
 
-    Each part goes in with its length, so that no part can pass for another.
+    Each part is hashed with its length, so that no part can pass for another.
 
     Parameters
     ----------
     path : str
-        With the query, as it came.
+        Path with query, as received.
     caller : str
-        What the caller is known by; empty where requests do not say. No address: those
-        of one caller change with the gateways on its way.
+        Identity of the caller; empty where requests carry none. Not an address, since
+        the addresses of one caller change with the gateways between.
     """
     digest = blake2b(digest_size=ID_BYTES)
     for part in (method.encode(), host.encode(), path.encode(), caller.encode(), body):
--- a/packages/core/src/sardinequay_core/demand_table.py
+++ b/packages/core/src/sardinequay_core/demand_table.py
@@ -1,4 +1,4 @@
-"""Demand for adapters, decayed so that popularity can shift."""
+"""Decayed request counts of adapters, which follow shifts in popularity."""
 
 import math
 from dataclasses import dataclass, field
@@ -8,7 +8,8 @@
 from .names import AdapterRef
 
 HALF_LIFE = timedelta(seconds=60)
-"""Long enough to rank adapters by a few requests each, short beside a lesson."""
+"""Long enough to rank adapters by a few requests each, short compared with a school
+lesson."""
 
 MIN_COUNT = 0.01
 
@@ -23,11 +24,11 @@
 
     def decayed_count(self, adapter: AdapterRef, now: Instant) -> float:
         """Return the decayed count of requests for an adapter."""
-        found = self.counts.get(adapter)
-        if found is None:
+        entry = self.counts.get(adapter)
+        if entry is None:
             return 0.0
-        count, at = found
-        return count * math.exp2(-((now - at) / self.half_life))
+        count, counted_at = entry
+        return count * math.exp2(-((now - counted_at) / self.half_life))
 
     def record_requests(
         self, adapter: AdapterRef, now: Instant, count: float = 1.0
@@ -36,7 +37,7 @@
         self.counts[adapter] = (self.decayed_count(adapter, now) + count, now)
 
     def prune_idle(self, now: Instant) -> None:
-        """Drop adapters that nobody has asked for in a long time, now and then."""
+        """Drop adapters without recent requests, at most once per half-life."""
         if now - self.pruned_at < self.half_life:
             return
         self.pruned_at = now
--- a/packages/core/src/sardinequay_core/load_view.py
+++ b/packages/core/src/sardinequay_core/load_view.py
@@ -1,8 +1,8 @@
-"""What a host knows of the load on engines: its own requests and its peers' shares.
+"""View of the load on engines: this host's own requests and its peers' shares.
 
-An engine reads prompts one after another, so the tokens that wait to be read there say
-when a request's first event can come. Each host knows its own; peers tell theirs a few
-times a second.
+An engine processes prompts one after another, so the prompt tokens queued there show
+when a request's first event can come. Each host counts its own requests; peers send
+their shares a few times a second.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,19 +14,22 @@
 from .reading_pace import PaceMeasurements, relative_pace
 
 PEER_SHARE_EXPIRY = seconds(1.5)
-"""How long a silent peer's share counts in a small fleet: several of its periods."""
+"""How long a silent peer's share counts in a small fleet: several of its digest
+periods."""
 
 DEFAULT_TOKENS_PER_S = 22_000.0
-"""Prompt tokens that an engine reads a second before any was measured."""
+"""Prompt tokens that an engine is assumed to process a second before any
+measurement."""
 
 PACE_DECAY = 0.85
-"""Weight of the past in an engine's measured pace; about seven requests."""
+"""Weight of the old pace at each new measurement; averages over about seven
+requests."""
 
 MAX_PACE, MIN_PACE = 8.0, 0.6
-"""Bounds of the measured pace against the default: a frozen engine is no slow one."""
+"""Bounds of an engine's relative pace: a frozen engine must not count as a slow one."""
 
 BASE_LATENCY_S = 0.02
-"""A request's way to an engine and its first decoding step, in seconds."""
+"""A request's network time to an engine and its first decoding step, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,10 +41,10 @@
     unread_tokens : int
         Prompt tokens of requests that have no first event yet.
     running : int
-        Requests that have one.
+        Requests that have their first event.
     expected_ms, took_ms : int
-        How long recent first events were expected to take at the usual pace, and took,
-        summed in milliseconds; told in large fleets only (`reading_pace`).
+        Expected time at the nominal pace, and measured time, of recent first events,
+        summed in milliseconds; sent in large fleets only (`reading_pace`).
     """
 
     unread_tokens: int = 0
@@ -56,7 +59,7 @@
         expected_ms: int = 0,
         took_ms: int = 0,
     ) -> "EngineShare":
-        """Return this share with some more on the engine."""
+        """Return this share with more load added."""
         return EngineShare(
             self.unread_tokens + unread_tokens,
             self.running + running,
@@ -65,13 +68,13 @@
         )
 
     def merged_with(self, other: "EngineShare") -> "EngineShare":
-        """Return two shares together."""
+        """Return the sum of two shares."""
         return self.with_added(
             other.unread_tokens, other.running, other.expected_ms, other.took_ms
         )
 
     def without(self, other: "EngineShare") -> "EngineShare":
-        """Return this share without another that is part of it."""
+        """Return this share minus another that is part of it."""
         return self.with_added(
             -other.unread_tokens, -other.running, -other.expected_ms, -other.took_ms
         )
@@ -82,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerShares:
-    """What one peer told, and when."""
+    """Shares that one peer reported, and the time of the report."""
 
     at: Instant
     shares: Mapping[TargetId, EngineShare]
@@ -92,17 +95,18 @@
 class LoadView:
     """Load on every engine, as this host sees it.
 
-    Sums over peers change with what is heard, so that a choice costs as many steps as
-    there are engines, however many hosts there are.
+    The sums over peers are updated with each report, so that a choice costs as many
+    steps as there are engines, however many hosts there are.
 
     Parameters
     ----------
     peers : dict
-        What each peer that counts told: its own share, or that of all hosts behind it.
-    heard : dict
+        Latest report of each peer that counts: its own share, or the sum of all hosts
+        that it reports for.
+    peer_total : dict
         The sum over `peers`, by engine.
-    measures_together : bool
-        Whether hosts go by what all measured of engines, as in a large fleet.
+    has_fleet_pace : bool
+        Whether hosts use the pace that all of them measured, as in a large fleet.
     """
 
     own: dict[TargetId, EngineShare] = field(default_factory=dict)
@@ -115,28 +119,28 @@
     pace_measurements: PaceMeasurements = field(default_factory=PaceMeasurements)
 
     def record_dispatch(self, target: TargetId, tokens: int) -> None:
-        """Count a request in that is on its way to an engine."""
+        """Count a request that is sent to an engine."""
         self.own[target] = self.own.get(target, NO_LOAD).with_added(tokens, 0)
 
     def record_first_event(self, target: TargetId, tokens: int) -> None:
-        """Count a request over from unread to running."""
+        """Move a request from the unread tokens to the running requests."""
         self.own[target] = self.own[target].with_added(-tokens, 1)
 
     def record_end(self, target: TargetId, tokens: int, had_first_event: bool) -> None:
-        """Count a request out."""
+        """Remove a request that has ended."""
         share = self.own[target]
-        left = (
+        remaining = (
             share.with_added(0, -1) if had_first_event else share.with_added(-tokens, 0)
         )
-        if left == NO_LOAD:
+        if remaining == NO_LOAD:
             del self.own[target]
         else:
-            self.own[target] = left
+            self.own[target] = remaining
 
     def apply_peer_shares(
         self, host: HostId, shares: Mapping[TargetId, EngineShare], now: Instant
     ) -> None:
-        """Take a peer's share; it replaces what the peer told before."""
+        """Replace the shares that a peer reported before by those of a new report."""
         self.forget_peer(host)
         self.peers[host] = PeerShares(now, shares)
         for target, share in shares.items():
@@ -145,20 +149,20 @@
     def apply_fleet_shares(
         self, host: HostId, shares: Mapping[TargetId, EngineShare], now: Instant
     ) -> None:
-        """Take from one peer what all others have on engines."""
+        """Replace the reports of all peers by the hub's sum over all other hosts."""
         self.peers.clear()
         self.peer_total.clear()
         self.apply_peer_shares(host, shares, now)
 
     def forget_peer(self, host: HostId) -> None:
         """Drop a peer that is gone; its requests are gone with it."""
-        told = self.peers.pop(host, None)
-        if told is not None:
-            for target, share in told.shares.items():
+        report = self.peers.pop(host, None)
+        if report is not None:
+            for target, share in report.shares.items():
                 self.add_to_peer_total(target, NO_LOAD.without(share))
 
     def add_to_peer_total(self, target: TargetId, share: EngineShare) -> None:
-        """Change the sum over peers of one engine."""
+        """Add a share to the sum over peers of one engine."""
         total = self.peer_total.get(target, NO_LOAD).merged_with(share)
         if total == NO_LOAD:
             self.peer_total.pop(target, None)
@@ -170,105 +174,109 @@
         if now < self.next_expiry:
             return
         since = now - self.peer_expiry
-        for host in [h for h, told in self.peers.items() if told.at <= since]:
+        for host in [h for h, report in self.peers.items() if report.at <= since]:
             self.forget_peer(host)
-        oldest = min((told.at for told in self.peers.values()), default=now)
+        oldest = min((report.at for report in self.peers.values()), default=now)
         self.next_expiry = oldest + self.peer_expiry
 
     def total_share(self, target: TargetId, now: Instant) -> EngineShare:
         """Return the load of all hosts on an engine."""
         self.expire_peers(now)
-        mine = self.own.get(target, NO_LOAD)
-        theirs = self.peer_total.get(target)
-        return mine if theirs is None else mine.merged_with(theirs)
+        own = self.own.get(target, NO_LOAD)
+        peers = self.peer_total.get(target)
+        return own if peers is None else own.merged_with(peers)
 
     def own_shares(self, now: Instant) -> dict[TargetId, EngineShare]:
-        """Return this host's part with what it measured, for a hub."""
-        found = dict(self.own)
+        """Return this host's shares with its pace measurements, as sent to a hub."""
+        shares = dict(self.own)
         for target in self.pace_measurements.own:
-            seen = self.pace_measurements.measurement_of(target, now)
-            expected_ms = round(seen.expected_s * 1000)
+            measured = self.pace_measurements.measurement_of(target, now)
+            expected_ms = round(measured.expected_s * 1000)
             if expected_ms:
-                share = found.get(target, NO_LOAD)
-                took_ms = round(seen.took_s * 1000)
-                found[target] = share.with_added(0, 0, expected_ms, took_ms)
-        return found
+                share = shares.get(target, NO_LOAD)
+                took_ms = round(measured.took_s * 1000)
+                shares[target] = share.with_added(0, 0, expected_ms, took_ms)
+        return shares
 
     def shares_excluding(
         self, host: HostId, now: Instant
     ) -> dict[TargetId, EngineShare]:
-        """Return the part of all hosts but what one of them told, by engine."""
+        """Return the load of all hosts minus what one peer reported, by engine."""
         self.expire_peers(now)
-        told = self.peers.get(host)
-        found = self.own_shares(now)
+        report = self.peers.get(host)
+        shares = self.own_shares(now)
         for target, share in self.peer_total.items():
-            found[target] = found.get(target, NO_LOAD).merged_with(share)
-        for target, share in told.shares.items() if told is not None else ():
-            left = found[target].without(share)
-            if left == NO_LOAD:
-                del found[target]
+            shares[target] = shares.get(target, NO_LOAD).merged_with(share)
+        for target, share in report.shares.items() if report is not None else ():
+            remaining = shares[target].without(share)
+            if remaining == NO_LOAD:
+                del shares[target]
             else:
-                found[target] = left
-        return found
+                shares[target] = remaining
+        return shares
 
     def combined_shares(
         self, hosts: Iterable[HostId], now: Instant
     ) -> dict[TargetId, EngineShare]:
-        """Return the part of this host and some peers together, by engine."""
+        """Return the sum of the shares of this host and the given peers, by engine."""
         self.expire_peers(now)
-        found = self.own_shares(now)
+        shares = self.own_shares(now)
         for host in hosts:
-            told = self.peers.get(host)
-            for target, share in told.shares.items() if told is not None else ():
-                found[target] = found.get(target, NO_LOAD).merged_with(share)
-        return found
+            report = self.peers.get(host)
+            for target, share in report.shares.items() if report is not None else ():
+                shares[target] = shares.get(target, NO_LOAD).merged_with(share)
+        return shares
 
     def engine_pace(self, target: TargetId, now: Instant) -> float:
-        """Return an engine's pace against the usual one, bounded.
+        """Return an engine's pace relative to the nominal one, bounded.
 
-        In a small fleet a host sends each engine requests enough to know by itself.
+        In a small fleet a host sends each engine enough requests to measure it alone.
         """
         if not self.has_fleet_pace:
             return self.own_pace.get(target, 1.0)
-        heard = self.peer_total.get(target, NO_LOAD)
-        seen = self.pace_measurements.measurement_of(target, now)
+        peer_share = self.peer_total.get(target, NO_LOAD)
+        measured = self.pace_measurements.measurement_of(target, now)
         pace = relative_pace(
-            seen.expected_s + heard.expected_ms / 1000,
-            seen.took_s + heard.took_ms / 1000,
+            measured.expected_s + peer_share.expected_ms / 1000,
+            measured.took_s + peer_share.took_ms / 1000,
         )
         return min(MAX_PACE, max(MIN_PACE, pace))
 
     def nominal_read_s(self, target: TargetId, tokens: int, now: Instant) -> float:
-        """Return how long reading up to a new request takes at the usual pace."""
+        """Return the processing time of a new request's prompt, in seconds.
+
+        Assumes the nominal pace, and includes the prompts queued before it.
+        """
         unread = self.total_share(target, now).unread_tokens + tokens
         return unread / DEFAULT_TOKENS_PER_S
 
     def expected_first_event_s(
         self, target: TargetId, tokens: int, now: Instant
     ) -> float:
-        """Return when a new request's first event is expected, in seconds."""
+        """Return the expected time to a new request's first event, in seconds."""
         return BASE_LATENCY_S + self.engine_pace(target, now) * self.nominal_read_s(
             target, tokens, now
         )
 
     def forget_target(self, target: TargetId) -> None:
-        """Drop what was measured of a target that started again."""
+        """Drop the pace measured of a target that has restarted."""
         self.own_pace.pop(target, None)
         self.pace_measurements.forget_target(target)
 
     def record_pace(
-        self, target: TargetId, usual_s: float, took_s: float, now: Instant
+        self, target: TargetId, nominal_s: float, took_s: float, now: Instant
     ) -> None:
-        """Learn an engine's pace from one request's first event.
+        """Update an engine's pace with one request's time to the first event.
 
         Parameters
         ----------
-        usual_s : float
-            How long reading takes at the usual pace, by the load when it was sent.
+        nominal_s : float
+            Processing time at the nominal pace, by the load when the request was sent,
+            in seconds.
         """
-        usual_s = max(usual_s, 0.001)
+        nominal_s = max(nominal_s, 0.001)
         took_s = max(took_s - BASE_LATENCY_S, 0.001)
-        self.pace_measurements.record_measurement(target, usual_s, took_s, now)
-        seen = min(MAX_PACE, max(MIN_PACE, took_s / usual_s))
-        old = self.own_pace.get(target, 1.0)
-        self.own_pace[target] = old * PACE_DECAY + seen * (1 - PACE_DECAY)
+        self.pace_measurements.record_measurement(target, nominal_s, took_s, now)
+        measured_pace = min(MAX_PACE, max(MIN_PACE, took_s / nominal_s))
+        previous = self.own_pace.get(target, 1.0)
+        self.own_pace[target] = previous * PACE_DECAY + measured_pace * (1 - PACE_DECAY)
--- a/packages/core/src/sardinequay_core/organisations.py
+++ b/packages/core/src/sardinequay_core/organisations.py
@@ -1,6 +1,6 @@
-"""Which organisations may send requests: their keys, their priority, their quota.
+"""Organisations that may send requests: their keys, priority and quota.
 
-A key is held and told between hosts as a digest only, so that nothing that a host
+A key is stored and sent between hosts only as a digest, so that nothing that a host
 keeps, logs or sends can be used to send requests.
 """
 
@@ -13,14 +13,16 @@
 KeyDigest = NewType("KeyDigest", str)
 
 DIGEST_BYTES = 16
-"""Keys are drawn at random, so a digest of this size gives none away."""
+"""Size of a key's digest in bytes: keys are random, so a digest of this size reveals
+none."""
 
 KEY_PURPOSE = b"caller key"
-"""Parts these digests from all others: a key that is also a body has another one."""
+"""Separates these digests from all others: a key that is also a body has another
+digest."""
 
 
 class QuotaUnit(Enum):
-    """What a quota counts."""
+    """What a quota counts: requests or tokens."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -28,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """How much an organisation may ask for, over all hosts.
+    """Rate limit of an organisation over all hosts.
 
     Parameters
     ----------
     rate_per_s, burst : float
-        What it may ask for a second, and at once after a pause, in the unit.
+        Sustained rate a second, and amount at once after a pause, in the unit.
     plain_tokens : int
-        What a request counts that does not say its tokens.
+        Cost of a request that does not declare its tokens.
     """
 
     rate_per_s: float
@@ -44,12 +46,13 @@
     plain_tokens: int = 1
 
     def cost(self, tokens: int | None) -> int:
-        """Return what a request counts.
+        """Return the cost of a request in the quota's unit.
 
         Parameters
         ----------
         tokens : int or None
-            Tokens to be read and at most made for it; None if it does not say.
+            Prompt tokens plus the most tokens to generate; None if the request does not
+            declare them.
         """
         if self.unit is QuotaUnit.REQUESTS:
             return 1
@@ -63,9 +66,9 @@
     Parameters
     ----------
     priority : int or None
-        Goes before the priority of a request's route; None for the route's.
+        Overrides the priority of a request's route; None for the route's.
     quota : Quota or None
-        None for no bound.
+        None for no limit.
     """
 
     name: OrganisationName
@@ -75,7 +78,7 @@
 
 
 def key_digest(key: str) -> KeyDigest:
-    """Return the digest by which a key is known."""
+    """Return the digest that identifies a key."""
     raw = key.encode("utf-8", "surrogateescape")
     digest = blake2b(raw, digest_size=DIGEST_BYTES, person=KEY_PURPOSE)
     return KeyDigest(digest.hexdigest())
--- a/packages/core/src/sardinequay_core/outcome.py
+++ b/packages/core/src/sardinequay_core/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a request, and every reason for refusing one."""
+"""Outcomes of requests, and every reason for a refusal."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """Whether the target executed the request."""
+    """Whether the target ran the request."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -74,23 +74,24 @@
         Reason.INTERNAL,
     }
 )
-"""Reasons given after bytes may have left for a target; all others precede that."""
+"""Reasons given after bytes may have been sent to a target; all others come before
+that."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A failed request's final answer.
+    """Final response to a failed request.
 
     Parameters
     ----------
     reason : Reason
-        Why it failed.
+        Why the request failed.
     outcome : Outcome
-        Whether it ran.
+        Whether the request ran.
     message : str
         One sentence for people.
     retry_after : timedelta or None
-        When coming back helps, counted from now.
+        Time from now after which a retry may succeed.
     """
 
     reason: Reason
@@ -107,7 +108,7 @@
 def not_run_refusal(
     reason: Reason, message: str, retry_after: timedelta | None = None
 ) -> Refusal:
-    """Return a refusal given before any byte left for a target."""
+    """Return a refusal given before any byte was sent to a target."""
     if reason in SENT_REASONS:
         raise ValueError(f"{reason} does not prove that the request has not run")
     return Refusal(reason, Outcome.NOT_RUN, message, retry_after)
--- a/packages/core/src/sardinequay_core/quarantine.py
+++ b/packages/core/src/sardinequay_core/quarantine.py
@@ -1,13 +1,14 @@
-"""Which contents of requests end the targets that run them.
+"""Quarantine of request contents that crash the targets which run them.
 
-Load pattern: a caller comes again and again with a request that ends each target which
-runs it, under a new request id, at any host. Judging targets alone sends it to the next
-one each time, and each end takes the other requests there with it. So an end counts
-against the content of every request that was there, hosts tell one another, and a
-content that was at two ends is held.
+Load pattern: a caller repeats a request that crashes each target which runs it, under a
+new request id, at any host. Health checks of targets alone send the request to the next
+target each time, and each crash takes down the other requests there. So the end of a
+target counts against the content of every request that was running there, hosts report
+these ends to each other, and a content that was present at two ends is held back.
 
-Most contents at an end are innocent: they were beside the one at fault. A whole answer
-clears a content, and after a short hold a content with two ends is tried once more.
+Most contents at an end are innocent: they only ran beside the one at fault. A complete
+response clears a content, and after a short hold a content with two ends is tried once
+more.
 """
 
 from collections.abc import Sequence
@@ -20,28 +21,29 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantinePolicy:
-    """When a content is held, and for how long.
+    """When a content is held back, and for how long.
 
     Parameters
     ----------
-    held_from : int
-        Ends of targets from which a content is held. One end has all requests on the
-        target for witnesses; the same content at a second one is seldom chance.
+    min_ends_to_hold : int
+        Number of ends from which a content is held. At one end, all requests on the
+        target are suspects; the same content at a second end is seldom a coincidence.
     first_hold : timedelta
-        How long it is held then: until a target that ended is back, so that one more
-        run meets a whole pool.
+        Duration of the hold at that number: until a target that ended has restarted, so
+        that one more run meets a complete pool.
     long_hold : timedelta
-        How long it is held after one more end, and twice as long after each further
-        one. A fault of a target's program is not mended sooner.
-    most_ends : int
-        Ends that are kept of one content, which bounds the hold, too.
-    same_end : timedelta
-        Ends of one target and start within this are one end, told by several hosts.
-        Without bound where a target's id or start tells one life of it from the next.
-    remember : timedelta
-        How long a content that is not held any more stays under suspicion.
-    most_contents : int
-        Contents that are kept; some 750 bytes each, 0.8 MB together as measured.
+        Duration after one more end, doubled for each further one. A fault in a target's
+        program is not fixed sooner.
+    max_ends : int
+        Number of ends kept of one content, which also bounds the hold.
+    same_end_span : timedelta
+        Ends of one target and start within this span are one end, reported by several
+        hosts. Unbounded where a target's id or start time distinguishes its
+        incarnations.
+    retention : timedelta
+        How long a content stays under suspicion after its hold.
+    max_contents : int
+        Number of contents kept; about 750 bytes each, 0.8 MB together as measured.
     """
 
     min_ends_to_hold: int = 2
@@ -55,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetEnd:
-    """The end of a target that had a request of some content.
+    """End of a target that was running a request of some content.
 
     Parameters
     ----------
     incarnation : int
-        The target's start that ended, in Unix milliseconds; 0 if it does not say.
+        Start time of the incarnation that ended, in Unix milliseconds; 0 if unknown.
     """
 
     target: TargetId
@@ -70,17 +72,18 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """What is known against one content.
+    """Evidence against one content.
 
     Parameters
     ----------
     cleared_at : timedelta or None
-        When a request of it was last answered; ends before that do not count.
+        When a request of the content was last answered; earlier ends do not count.
     held_until : timedelta or None
-        Until when it is held; None if it never was. Kept, since each request asks for
-        it and all are gone through twice a second: 17 ms for all when worked out anew.
-    number : int
-        Of the last change, among those of all contents.
+        Until when the content is held; None if it never was. Stored, since each request
+        looks it up and all are scanned twice a second, which takes 17 ms when it is
+        computed each time.
+    change_number : int
+        Number of the last change, in the sequence over all contents.
     """
 
     ends: list[TargetEnd] = field(default_factory=list)
@@ -92,59 +95,58 @@
 
 @dataclass(slots=True)
 class Quarantine:
-    """The contents under suspicion, as one host knows them.
+    """Contents under suspicion, as one host knows them.
 
-    Hosts pass on what they hear. All that is told may be lost, repeated or late.
+    Hosts pass on what peers report. Each report may be lost, repeated or late.
     """
 
     policy: QuarantinePolicy = field(default_factory=QuarantinePolicy)
     suspicions: dict[ContentId, Suspicion] = field(default_factory=dict)
     last_change_number: int = 0
 
-    # What comes in.
-
     def record_target_end(
         self, content: ContentId, end: TargetEnd, now: Instant
     ) -> bool:
-        """Take that a target ended under such a request; return whether that is new.
+        """Record the end of a target that ran a content; return whether it is new.
 
         Parameters
         ----------
         now : timedelta
-            When this host hears of it.
+            When this host received the report.
         """
-        known = self.suspicions.get(content)
-        if known is not None:
-            if known.cleared_at is not None and end.at <= known.cleared_at:
+        suspicion = self.suspicions.get(content)
+        if suspicion is not None:
+            if suspicion.cleared_at is not None and end.at <= suspicion.cleared_at:
                 return False
-            if self.merge_known_end(known, end):
+            if self.merge_known_end(suspicion, end):
                 return False
         else:
             self.evict_least_suspect()
-            known = self.suspicions[content] = Suspicion()
-        known.ends.append(end)
-        known.ends.sort(key=lambda e: e.at)
-        del known.ends[: -self.policy.max_ends]
-        self.record_change(known, now)
+            suspicion = self.suspicions[content] = Suspicion()
+        suspicion.ends.append(end)
+        suspicion.ends.sort(key=lambda e: e.at)
+        del suspicion.ends[: -self.policy.max_ends]
+        self.record_change(suspicion, now)
         return True
 
-    def merge_known_end(self, known: Suspicion, end: TargetEnd) -> bool:
-        """Return whether an end is known, and keep the earliest moment told of it.
+    def merge_known_end(self, suspicion: Suspicion, end: TargetEnd) -> bool:
+        """Return whether an end is known already, and keep its earliest reported time.
 
-        What a cut or a freeze held up arrives with the age that it had before, and so
-        seems later than it was. Taken for another end, one end held its contents.
+        A report delayed by a partition or a frozen process arrives with the age that it
+        had before, so its end seems later than it was. When such a report was taken for
+        a second end, one end held the contents of its requests.
         """
-        for place, other in enumerate(known.ends):
+        for index, other in enumerate(suspicion.ends):
             if self.is_same_end(end, other):
                 if end.at < other.at:
-                    known.ends[place] = end
-                    known.ends.sort(key=lambda e: e.at)
-                    known.held_until = self.hold_expiry(known.ends)
+                    suspicion.ends[index] = end
+                    suspicion.ends.sort(key=lambda e: e.at)
+                    suspicion.held_until = self.hold_expiry(suspicion.ends)
                 return True
         return False
 
     def is_same_end(self, end: TargetEnd, other: TargetEnd) -> bool:
-        """Return whether two witnesses tell of one end."""
+        """Return whether two reports describe one end."""
         return (
             end.target == other.target
             and end.incarnation == other.incarnation
@@ -152,53 +154,51 @@
         )
 
     def clear_content(self, content: ContentId, at: Instant, now: Instant) -> bool:
-        """Take that a request was answered, or an operator let it go.
+        """Clear a content whose request was answered or that an operator released.
 
-        Returns whether that changes anything.
+        Returns whether the content was under suspicion.
         """
-        known = self.suspicions.get(content)
-        if known is None:
+        suspicion = self.suspicions.get(content)
+        if suspicion is None:
             return False
-        if known.cleared_at is not None and at <= known.cleared_at:
+        if suspicion.cleared_at is not None and at <= suspicion.cleared_at:
             return False
-        was_suspect = bool(known.ends)
-        known.cleared_at = at
-        known.ends = [e for e in known.ends if e.at > at]
+        was_suspect = bool(suspicion.ends)
+        suspicion.cleared_at = at
+        suspicion.ends = [e for e in suspicion.ends if e.at > at]
         if was_suspect:
-            self.record_change(known, now)
+            self.record_change(suspicion, now)
         return was_suspect
 
-    def record_change(self, known: Suspicion, now: Instant) -> None:
-        """Give a change its number."""
+    def record_change(self, suspicion: Suspicion, now: Instant) -> None:
+        """Assign the next change number, and recompute the hold."""
         self.last_change_number += 1
-        known.change_number = self.last_change_number
-        known.changed_at = now
-        known.held_until = self.hold_expiry(known.ends)
-
-    # What follows from it.
+        suspicion.change_number = self.last_change_number
+        suspicion.changed_at = now
+        suspicion.held_until = self.hold_expiry(suspicion.ends)
 
     def ends_of(self, content: ContentId) -> tuple[TargetEnd, ...]:
         """Return the ends that count against a content, the oldest first."""
-        known = self.suspicions.get(content)
-        return tuple(known.ends) if known is not None else ()
+        suspicion = self.suspicions.get(content)
+        return tuple(suspicion.ends) if suspicion is not None else ()
 
     def held_until(self, content: ContentId) -> Instant | None:
         """Return until when a content is held; None if it never was."""
-        known = self.suspicions.get(content)
-        return known.held_until if known is not None else None
+        suspicion = self.suspicions.get(content)
+        return suspicion.held_until if suspicion is not None else None
 
     def hold_expiry(self, ends: Sequence[TargetEnd]) -> Instant | None:
-        """Return until when ends, the last one last, hold a content."""
-        further = len(ends) - self.policy.min_ends_to_hold
-        if further < 0:
+        """Return until when ends, in order of time, hold a content; None if too few."""
+        extra_ends = len(ends) - self.policy.min_ends_to_hold
+        if extra_ends < 0:
             return None
         hold = self.policy.first_hold
-        if further:
-            hold = self.policy.long_hold * 2 ** (further - 1)
+        if extra_ends:
+            hold = self.policy.long_hold * 2 ** (extra_ends - 1)
         return ends[-1].at + hold
 
     def remaining_hold(self, content: ContentId, now: Instant) -> timedelta:
-        """Return how long a content is still held; nothing if it is not."""
+        """Return how long a content is still held; zero if it is not held."""
         until = self.held_until(content)
         return max(ZERO, until - now) if until is not None else ZERO
 
@@ -210,34 +210,30 @@
         """Return the contents that are held."""
         return tuple(
             c
-            for c, known in self.suspicions.items()
-            if known.held_until is not None and known.held_until > now
+            for c, suspicion in self.suspicions.items()
+            if suspicion.held_until is not None and suspicion.held_until > now
         )
 
-    # What peers are told.
-
-    def changed_since(self, number: int, most: int) -> tuple[ContentId, ...]:
-        """Return the contents that changed after a change, the oldest change first."""
+    def changed_since(self, number: int, limit: int) -> tuple[ContentId, ...]:
+        """Return contents changed after a change number, the oldest change first."""
         if number >= self.last_change_number:
             return ()
         changed = [c for c, s in self.suspicions.items() if s.change_number > number]
         changed.sort(key=lambda c: self.suspicions[c].change_number)
-        return tuple(changed[:most])
-
-    # Bounds.
+        return tuple(changed[:limit])
 
     def evict_least_suspect(self) -> None:
-        """Forget the content with the least against it, the oldest of them."""
+        """Drop contents with the fewest ends, the oldest first, until there is room."""
         while len(self.suspicions) >= self.policy.max_contents:
-            least = min(
+            evicted = min(
                 self.suspicions.items(),
                 key=lambda item: (len(item[1].ends), item[1].changed_at),
             )
-            del self.suspicions[least[0]]
+            del self.suspicions[evicted[0]]
 
     def expire_suspicions(self, now: Instant) -> None:
-        """Forget contents of which nothing was heard for long."""
-        for content, known in tuple(self.suspicions.items()):
-            until = known.held_until or known.changed_at
-            if now - max(until, known.changed_at) > self.policy.retention:
+        """Drop contents without reports for longer than the retention."""
+        for content, suspicion in tuple(self.suspicions.items()):
+            until = suspicion.held_until or suspicion.changed_at
+            if now - max(until, suspicion.changed_at) > self.policy.retention:
                 del self.suspicions[content]
--- a/packages/core/src/sardinequay_core/quota_ledger.py
+++ b/packages/core/src/sardinequay_core/quota_ledger.py
@@ -1,14 +1,14 @@
-"""Which requests are within an organisation's quota, by what all hosts use together.
+"""Distributed rate limits: which requests are within their organisation's quota.
 
-Load pattern: many hosts, each of which sees a request of an organisation now and then,
-and an organisation that suddenly asks for several times what it may. A host's own share
-of a small quota is less than one request. Admitting against what was heard some tenths
-of a second ago lets all hosts through at once, and then none.
+Load pattern: many hosts, each of which gets a request of an organisation now and then,
+and an organisation that suddenly sends several times its quota. A host's own share of a
+small quota is less than one request. Admission by usage reported some tenths of a
+second ago lets all hosts admit at once, and then none.
 
-So each host estimates what is left for the whole fleet, how much is asked for, and
-admits the fraction of its requests that fits. Nobody is asked on a request's way. What
-others admit until they are heard again is foreseen from their flow, so that a peer that
-falls silent is not taken for one that uses nothing.
+So each host estimates the remaining quota and the demand over the whole fleet, and
+admits the fraction of its requests that fits. No request waits for another host. What
+peers admit until their next report is extrapolated from their usage flow, so that a
+silent peer is not taken for an idle one.
 """
 
 import math
@@ -23,26 +23,27 @@
 
 USED_RATE_EXCESS = 0.2
 """Part of the tolerated excess of the rate that is used, so that requests within the
-quota are not refused for an estimate that is a little high."""
+quota are not refused when an estimate is slightly too high."""
 
 USED_BURST_SLACK = 0.4
-"""The same for the tolerated excess in a window."""
+"""Part of the tolerated slack in a window that is used, for the same reason."""
 
 CORRECTION_HORIZON_S = 1.5
-"""In this time what is left may be used up, and what is overdrawn is made up for, in
-seconds: a few times the age of what is known, so that hosts do not sway together."""
+"""Time over which remaining quota may be used up and an overdraft is recovered, in
+seconds: a few times the age of peers' reports, so that hosts do not oscillate
+together."""
 
 DEMAND_TIME_CONSTANT_S = 2.0
-"""Time constant of what this host is asked for, in seconds: requests of one
-organisation come to one host seconds apart."""
+"""Time constant of this host's measured demand, in seconds: requests of one
+organisation arrive at one host seconds apart."""
 
 CHEAP_COST_SHARE = 0.25
-"""A request that costs less than this part of the usual one of its organisation is let
-through while the quota is not far overdrawn: many of them take few tokens, and all that
-an organisation gets for its quota grows by them."""
+"""A request that costs less than this share of its organisation's mean cost is admitted
+while the quota is not far overdrawn: many such requests take few tokens, and they raise
+the number of requests that an organisation gets for its quota."""
 
 MEAN_COST_REQUESTS = 20
-"""Requests over which the usual cost is reckoned."""
+"""Number of requests over which the mean cost is averaged."""
 
 EPSILON = 1e-9
 WINDOW = seconds(8)
@@ -50,16 +51,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPolicy:
-    """What may be exceeded, over all hosts.
+    """Tolerated excess over a quota, summed over all hosts.
 
     Parameters
     ----------
     window : timedelta
-        The span in which usage is judged.
-    over : float
-        Part by which usage in a window may exceed the quota.
+        Length of the window in which usage is judged.
+    rate_excess : float
+        Fraction by which usage in a window may exceed the quota.
     slack : float
-        What it may exceed it by beyond that, in the quota's unit.
+        Further excess in a window, in the quota's unit.
     """
 
     window: timedelta = WINDOW
@@ -67,21 +68,21 @@
     slack: float = 0.0
 
     def rate_per_s(self, quota: Quota) -> float:
-        """Return what is admitted a second."""
+        """Return the admitted rate, in the quota's unit a second."""
         return quota.rate_per_s * (1 + self.rate_excess * USED_RATE_EXCESS)
 
     def burst(self, quota: Quota) -> float:
-        """Return what is admitted at once after a pause."""
+        """Return the amount that is admitted at once after a pause."""
         return quota.burst + self.slack * USED_BURST_SLACK
 
     def max_cost(self, quota: Quota) -> float:
-        """Return the largest request that fits a window."""
+        """Return the cost of the largest request that fits in a window."""
         return quota.rate_per_s * self.window.total_seconds() + self.burst(quota)
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request is within its organisation's quota and counts against it."""
+    """A request within its organisation's quota, and the cost counted for it."""
 
     organisation: OrganisationName
     cost: int
@@ -89,17 +90,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """A request is beyond its organisation's quota.
+    """A request beyond its organisation's quota, with the values behind the refusal.
 
     Parameters
     ----------
-    rate_per_s, left, asked_per_s : float
-        What this host may go by, what it takes to be left, and what is asked for over
-        all hosts.
-    known : timedelta
-        How old what it knows of others is.
-    come_back : timedelta or None
-        When there may be room; None if there never is for so large a request.
+    rate_per_s, remaining, asked_per_s : float
+        Rate that this host applies, quota that it estimates to remain, and demand over
+        all hosts, in the quota's unit.
+    data_age : timedelta
+        Age of the oldest report of a peer.
+    retry_after : timedelta or None
+        When the request may fit; None if so large a request never does.
     """
 
     organisation: OrganisationName
@@ -113,18 +114,18 @@
 
 @dataclass(slots=True)
 class QuotaAccount:
-    """What is left of one organisation's quota, as this host estimates it.
+    """State of one organisation's quota, as this host estimates it.
 
     Parameters
     ----------
-    left : float
-        In the quota's unit; negative once more was used than may be.
+    remaining : float
+        In the quota's unit; negative while the quota is overdrawn.
     carry : float
-        Of requests that were let through in part, what adds up to the next whole one.
+        Sum of admitted fractions that has not reached a whole request yet.
     asked : float
-        What this host was asked for lately, decayed, as of `asked_at`.
-    usual_cost : float
-        Of a request, over the last ones.
+        This host's recent demand, decayed, as of `asked_at`.
+    mean_cost : float
+        Mean cost of recent requests.
     """
 
     quota: Quota
@@ -137,7 +138,7 @@
     cost_samples: int = 0
 
     def own_asked_per_s(self, now: Instant) -> float:
-        """Return what this host is asked for a second."""
+        """Return the demand at this host, in the quota's unit a second."""
         aged_s = (now - self.asked_at).total_seconds()
         return (
             self.asked
@@ -146,7 +147,7 @@
         )
 
     def record_asked(self, cost: int, now: Instant) -> None:
-        """Count what this host is asked for."""
+        """Add a request to the demand at this host and to the mean cost."""
         self.asked = self.own_asked_per_s(now) * DEMAND_TIME_CONSTANT_S + cost
         self.asked_at = now
         self.cost_samples = min(self.cost_samples + 1, MEAN_COST_REQUESTS)
@@ -155,16 +156,17 @@
 
 @dataclass(slots=True)
 class QuotaLedger:
-    """The accounts of all organisations on one host.
+    """Quota accounts of all organisations on one host.
 
     Parameters
     ----------
-    draw : callable
-        Returns a random number from 0 to 1: hosts admit their first requests of those
-        that fit in part at different moments.
+    draw_random : callable
+        Returns a random number from 0 to 1. It sets the initial `carry`, so that hosts
+        that admit a fraction of requests admit their first one at different times.
     share : float
-        Part of each quota that the hosts in touch with this one may use: less than all
-        while others, known to have lived lately, may use the rest out of touch.
+        Part of each quota that the hosts in contact with this one may use: less than
+        all while other hosts, known to be alive recently, may use the rest out of
+        contact.
     """
 
     draw_random: Callable[[], float]
@@ -173,12 +175,10 @@
     accounts: dict[OrganisationName, QuotaAccount] = field(default_factory=dict)
     share: float = 1.0
 
-    # What comes in.
-
     def apply_organisations(
         self, organisations: tuple[Organisation, ...], now: Instant
     ) -> None:
-        """Take the quotas in force; what was used stays counted."""
+        """Apply the quotas in force; usage counted so far is kept."""
         quotas = {o.name: o.quota for o in organisations if o.quota is not None}
         for name in [n for n in self.accounts if n not in quotas]:
             del self.accounts[name]
@@ -186,7 +186,7 @@
         for name, quota in quotas.items():
             account = self.accounts.get(name)
             if account is None:
-                # Empty: another host may have used the burst just now.
+                # Starts empty: another host may have admitted the burst just now.
                 self.accounts[name] = QuotaAccount(quota, now, self.draw_random())
                 self.usage.added_at[name] = now
             elif account.quota != quota:
@@ -195,76 +195,74 @@
                 account.remaining = min(account.remaining, self.policy.burst(quota))
 
     def apply_share(self, share: float, now: Instant) -> None:
-        """Take which part of each quota the hosts in touch may use."""
+        """Set the part of each quota that the hosts in contact may use."""
         if share != self.share:
             self.settle_all(now)
             self.share = share
 
-    def apply_report(self, host: HostId, told: ReportedUsage, now: Instant) -> None:
-        """Take what a peer counted, itself or over all hosts behind it."""
-        self.settle_named(self.usage.affected_organisations(host, told.counts), now)
-        for gain in self.usage.apply_report(host, told, now):
+    def apply_report(self, host: HostId, report: ReportedUsage, now: Instant) -> None:
+        """Apply a peer's usage counts: its own, or a sum over hosts it reports for."""
+        self.settle_named(self.usage.affected_organisations(host, report.counts), now)
+        for gain in self.usage.apply_report(host, report, now):
             account = self.accounts.get(gain.organisation)
             if account is not None:
                 account.remaining -= gain.usage.admitted - gain.expected_admitted
 
     def apply_fleet_report(
-        self, host: HostId, told: ReportedUsage, now: Instant
+        self, host: HostId, report: ReportedUsage, now: Instant
     ) -> None:
-        """Take from one peer what all others counted."""
+        """Replace the reports of all peers by the hub's sum over all other hosts."""
         if self.usage.sources.keys() != {host}:
             self.settle_all(now)
             self.usage.keep_only_peer(host)
-        self.apply_report(host, told, now)
+        self.apply_report(host, report, now)
 
     def forget_peer(self, host: HostId, now: Instant) -> None:
-        """Take that a peer is gone."""
+        """Stop counting the usage of a peer that is gone."""
         if host in self.usage.sources:
             self.settle_all(now)
             self.usage.forget_peer(host, now)
 
     def settle_named(self, names: Iterable[OrganisationName], now: Instant) -> None:
-        """Bring the accounts of some organisations up to now."""
+        """Bring the accounts of the named organisations up to date."""
         for name in names:
             account = self.accounts.get(name)
             if account is not None:
                 self.settle(name, account, now)
 
     def settle_all(self, now: Instant) -> None:
-        """Bring all accounts up to now."""
+        """Bring all accounts up to date."""
         for name, account in self.accounts.items():
             self.settle(name, account, now)
 
     def settle(
         self, name: OrganisationName, account: QuotaAccount, now: Instant
     ) -> None:
-        """Add what became free since last time, less what others foreseeably used."""
+        """Add the quota accrued since the last call, minus peers' expected usage."""
         elapsed_s = (now - account.settled_at).total_seconds()
         if elapsed_s <= 0:
             return
         account.settled_at = now
         rate = self.rate_per_s(account)
-        foreseen = self.usage.peer_flow(name).admitted_per_s
-        left = account.remaining + (rate - foreseen) * elapsed_s
+        expected_per_s = self.usage.peer_flow(name).admitted_per_s
+        remaining = account.remaining + (rate - expected_per_s) * elapsed_s
         lowest = -rate * self.policy.window.total_seconds()
         highest = self.policy.burst(account.quota) * self.share
-        account.remaining = min(max(left, lowest), highest)
-
-    # What a request sees.
+        account.remaining = min(max(remaining, lowest), highest)
 
     def rate_per_s(self, account: QuotaAccount) -> float:
-        """Return what the hosts in touch may admit a second."""
+        """Return the rate that the hosts in contact may admit together."""
         return self.policy.rate_per_s(account.quota) * self.share
 
     def admit(
         self, organisation: Organisation, tokens: int | None, now: Instant
     ) -> Admitted | OverQuota | None:
-        """Return whether a request is within the quota; None if there is none.
+        """Decide on a request by its organisation's quota; return None without a quota.
 
         Parameters
         ----------
         tokens : int or None
-            Tokens that the request says it takes.
+            Tokens that the request declares.
         """
         account = self.accounts.get(organisation.name)
         if account is None:
@@ -278,15 +276,15 @@
         account.carry += fraction
         if account.carry < 1 - EPSILON:
             self.usage.record_usage(organisation.name, Usage(asked=cost), now)
-            wait = self.retry_after(organisation.name, account, cost, now)
-            return self.over_quota(organisation.name, account, cost, now, wait)
+            retry_after = self.retry_after(organisation.name, account, cost, now)
+            return self.over_quota(organisation.name, account, cost, now, retry_after)
         account.carry -= 1
         account.remaining -= cost
         self.usage.record_usage(organisation.name, Usage(cost, cost), now)
         return Admitted(organisation.name, cost)
 
     def refund(self, admitted: Admitted, now: Instant) -> None:
-        """Take back what was counted for a request that did not run."""
+        """Return the cost of a request that did not run to its quota."""
         account = self.accounts.get(admitted.organisation)
         if account is not None:
             account.remaining += admitted.cost
@@ -297,7 +295,7 @@
     def admitted_fraction(
         self, name: OrganisationName, account: QuotaAccount, cost: int, now: Instant
     ) -> float:
-        """Return which part of requests of some cost fits, over all hosts."""
+        """Return the fraction of requests of some cost that fits, over all hosts."""
         free_per_s = self.rate_per_s(account) + account.remaining / CORRECTION_HORIZON_S
         asked_per_s = self.asked_per_s(name, account, now)
         if free_per_s <= 0:
@@ -309,21 +307,21 @@
     def asked_per_s(
         self, name: OrganisationName, account: QuotaAccount, now: Instant
     ) -> float:
-        """Return what all hosts are asked for a second."""
-        elsewhere = self.usage.peer_flow(name).asked_per_s
-        return elsewhere + account.own_asked_per_s(now)
+        """Return the demand over all hosts, in the quota's unit a second."""
+        peers_per_s = self.usage.peer_flow(name).asked_per_s
+        return peers_per_s + account.own_asked_per_s(now)
 
     def retry_after(
         self, name: OrganisationName, account: QuotaAccount, cost: int, now: Instant
     ) -> timedelta:
         """Return when a refused request may fit.
 
-        That is when what is overdrawn is made up for, and in turn with others that are
-        refused meanwhile.
+        That is the time to recover an overdraft and accrue the cost, lengthened by the
+        ratio of demand to rate, since other refused requests retry meanwhile.
         """
         rate = self.rate_per_s(account)
-        crowd = max(1.0, self.asked_per_s(name, account, now) / rate)
-        return seconds((max(0.0, -account.remaining) + cost) / rate * crowd)
+        demand_ratio = max(1.0, self.asked_per_s(name, account, now) / rate)
+        return seconds((max(0.0, -account.remaining) + cost) / rate * demand_ratio)
 
     def over_quota(
         self,
@@ -331,9 +329,9 @@
         account: QuotaAccount,
         cost: int,
         now: Instant,
-        come_back: timedelta | None,
+        retry_after: timedelta | None,
     ) -> OverQuota:
-        """Return the refusal of a request with what it was decided from."""
+        """Return the refusal of a request with the values that it was decided from."""
         return OverQuota(
             name,
             cost,
@@ -341,5 +339,5 @@
             account.remaining,
             self.asked_per_s(name, account, now),
             self.usage.max_report_age(now),
-            come_back,
+            retry_after,
         )
--- a/packages/core/src/sardinequay_core/repeat_budget.py
+++ b/packages/core/src/sardinequay_core/repeat_budget.py
@@ -1,15 +1,16 @@
-"""How many further arrivals a pool of targets can bear, shared without talking.
-
-Load pattern: targets fail or reject requests, and every entry host sends them again;
-the repeats then are what keeps the targets overloaded. Over any window all hosts
-together may add a ratio of the requests, and a slack. Each host takes the ratio of its
-own requests and its share of the slack.
-
-The bound holds for what arrives while hosts die and fleets are cut apart. A host that
-has started again knows neither what it sent before nor who lives behind a cut, so it
-has no part of the slack until both are over. Hosts divide the slack by all that lived
-lately, not by those in touch. And a repeat counts from when it is permitted until a
-window after it has arrived.
+"""Retry budget of a pool of targets, divided among hosts without coordination.
+
+A repeat is an arrival of a request at a target beyond its first. Load pattern: targets
+fail or reject requests, and every entry host sends these again; the repeats then keep
+the targets overloaded. Over any window, all hosts together may add repeats up to a
+ratio of the requests plus a slack. Each host uses the ratio of its own requests and its
+share of the slack.
+
+The bound also holds for arrivals while hosts crash and the fleet is partitioned. A host
+that has restarted knows neither what it sent before nor which hosts are alive on the
+other side of a partition, so it has no part of the slack until both are over. Hosts
+divide the slack by all hosts that were alive recently, not by those in contact. And a
+repeat counts from when it is permitted until a window after it has arrived.
 """
 
 from collections import deque
@@ -20,26 +21,27 @@
 from .fleet_share import HOST_RETENTION
 
 USED_SLACK_SHARE = 0.75
-"""Part of the slack that is used: hosts count live peers a little differently."""
+"""Part of the slack that is used: hosts differ slightly in their counts of live
+hosts."""
 
 
 SLACK_DELAY = HOST_RETENTION
-"""From a start anew until a host has its share of the slack: longer than a window, and
-than a cut in which it would count too few hosts."""
+"""Time after a host's start until it has its share of the slack: longer than a window,
+and than a partition during which it would count too few hosts."""
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatPolicy:
-    """The bound over all hosts.
+    """Bound on repeats over all hosts.
 
     Parameters
     ----------
     ratio : float
-        Further arrivals for each request in a window.
+        Repeats for each request in a window.
     slack : float
-        Further arrivals in a window beyond that, over all hosts.
+        Repeats in a window beyond the ratio, over all hosts.
     window : timedelta
-        The length of the sliding window.
+        Length of the sliding window.
     """
 
     ratio: float = 0.2
@@ -49,16 +51,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RepeatUsage:
-    """What a further attempt is permitted from, on one host.
+    """Use of one host's share of the retry budget, from which a repeat is decided.
 
     Parameters
     ----------
     requests, repeats : int
-        Counted in the window; repeats also while they are on their way.
+        Counts in the window; repeats include those in transit.
     allowed : float
-        Repeats that this host may have in the window.
+        Repeats that this host may send in the window.
     hosts : int
-        Hosts that the slack is divided by.
+        Number of hosts that the slack is divided by.
     """
 
     requests: int
@@ -68,20 +70,20 @@
 
     @property
     def has_room(self) -> bool:
-        """Return whether one more repeat is within what is allowed."""
+        """Return whether one more repeat is within the allowed number."""
         return self.repeats + 1 <= self.allowed
 
 
 @dataclass(slots=True)
 class RepeatBudget:
-    """One host's share for one pool.
+    """One host's share of the retry budget of one pool.
 
     Parameters
     ----------
     slack_from : timedelta
-        When this host has its share of the slack.
-    on_way : int
-        Repeats that were permitted and may arrive yet.
+        Time from which this host has its share of the slack.
+    in_transit : int
+        Repeats that were permitted and may still arrive.
     """
 
     policy: RepeatPolicy
@@ -96,12 +98,12 @@
         self.prune_window(now)
 
     def current_usage(self, hosts: int, now: Instant) -> RepeatUsage:
-        """Return what of this host's share is used.
+        """Return the use of this host's share.
 
         Parameters
         ----------
         hosts : int
-            Hosts that lived lately, at least one.
+            Number of hosts that were alive recently, at least one.
         """
         self.prune_window(now)
         allowed = self.policy.ratio * len(self.requests)
@@ -111,17 +113,17 @@
         return RepeatUsage(len(self.requests), repeats, allowed, hosts)
 
     def record_permitted(self) -> None:
-        """Count a further arrival that was permitted."""
+        """Count a repeat that was permitted and has not arrived yet."""
         self.in_transit += 1
 
     def record_arrival(self, now: Instant) -> None:
-        """Take that a further arrival has come, or will not come any more."""
+        """Record that a repeat has arrived, or will never arrive."""
         self.in_transit -= 1
         self.repeats.append(now)
 
     def prune_window(self, now: Instant) -> None:
-        """Forget what left the window."""
-        since = now - self.policy.window
+        """Drop events that have left the window."""
+        window_start = now - self.policy.window
         for events in (self.requests, self.repeats):
-            while events and events[0] < since:
+            while events and events[0] < window_start:
                 events.popleft()
--- a/packages/core/src/sardinequay_core/residency.py
+++ b/packages/core/src/sardinequay_core/residency.py
@@ -1,8 +1,9 @@
-"""Which engine holds which adapter, as far as one host knows.
+"""Which engine holds which adapters, as far as this host knows.
 
-The host that orders an engine tells what the engine holds; its later news replace its
-earlier ones. Where nobody tells, what the engine itself published has to do, which is
-about a second old. What an engine says of a request is believed at once.
+The host that orders loads on an engine reports what the engine holds, and its later
+updates replace its earlier ones. Without such a report, the status that the engine
+published is used, which is about a second old. An engine's own reply to a request takes
+effect at once.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -15,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldAdapters:
-    """What one engine holds.
+    """Adapters that one engine holds, by the latest update.
 
     Parameters
     ----------
     idle : int or None
-        Adapters that no request uses, if the host that orders the engine told.
+        Adapters that no request uses, if the host that orders loads reported it.
     """
 
     token: int
@@ -35,18 +36,19 @@
 
     @property
     def version_key(self) -> tuple[int, int, int]:
-        """Return what later news of an engine has more of."""
+        """Return the key by which a later update of an engine is greater."""
         return self.incarnation, self.token, self.number
 
 
 @dataclass(slots=True)
 class Residency:
-    """What all engines hold.
+    """Adapters that all engines hold.
 
     Parameters
     ----------
     missing : dict
-        Adapters that an engine denied to have, with the news that said otherwise.
+        Adapters that an engine reported as missing, with the version of the update that
+        had listed them.
     """
 
     reported: dict[TargetId, HeldAdapters] = field(default_factory=dict)
@@ -55,18 +57,18 @@
     )
 
     def apply_update(self, target: TargetId, held: HeldAdapters) -> bool:
-        """Take news of an engine; return whether they are later than what was known."""
-        known = self.reported.get(target)
-        if known is not None and known.version_key > held.version_key:
+        """Apply an update of an engine; return False if a later one is known."""
+        previous = self.reported.get(target)
+        if previous is not None and previous.version_key > held.version_key:
             return False
         self.reported[target] = held
         return True
 
     def holdings_of(self, published: PublishedTarget) -> HeldAdapters:
-        """Return what an engine holds, since its last start that is known."""
-        told = self.reported.get(published.target.target_id)
-        if told is not None and told.incarnation >= published.incarnation:
-            return told
+        """Return what an engine holds, by its latest update since its last start."""
+        reported = self.reported.get(published.target.target_id)
+        if reported is not None and reported.incarnation >= published.incarnation:
+            return reported
         return HeldAdapters(
             0,
             published.revision,
@@ -77,33 +79,35 @@
     def resident_adapter(
         self, published: PublishedTarget, requested: AdapterRef
     ) -> AdapterRef | None:
-        """Return the adapter as an engine holds it, not older than wanted."""
+        """Return the resident adapter of the requested version or a later one."""
         held = self.holdings_of(published)
         for adapter in held.adapters:
             if adapter.is_at_least(requested):
-                denied = self.missing.get((published.target.target_id, adapter))
-                if denied is None or denied < held.version_key:
+                missing_version = self.missing.get(
+                    (published.target.target_id, adapter)
+                )
+                if missing_version is None or missing_version < held.version_key:
                     return adapter
         return None
 
     def expected_at(
         self, published: PublishedTarget, requested: AdapterRef
     ) -> Instant | None:
-        """Return when an adapter is expected on an engine, if it is coming."""
+        """Return when an adapter that is being loaded is expected on an engine."""
         for adapter, at in self.holdings_of(published).coming.items():
             if adapter.is_at_least(requested):
                 return at
         return None
 
     def record_loaded(self, published: PublishedTarget, adapter: AdapterRef) -> None:
-        """Take that an adapter is on an engine now, ahead of the next news."""
+        """Record an adapter as resident, ahead of the engine's next update."""
         held = self.holdings_of(published)
         target = published.target.target_id
         self.missing.pop((target, adapter), None)
         self.reported[target] = replace(held, adapters=held.adapters | {adapter})
 
     def record_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
-        """Take that an engine does not have an adapter after all."""
+        """Record that an engine does not have an adapter that an update listed."""
         held = self.holdings_of(published)
         key = (published.target.target_id, adapter)
         self.missing[key] = held.version_key
@@ -124,15 +128,16 @@
 
 @dataclass(slots=True)
 class AdapterUses:
-    """Requests that use adapters, by engine: this host's and its peers'.
+    """Counts of requests that use adapters, by engine, of this host and its peers.
 
-    Sums change with what is heard, so that a choice asks for them at no cost: summed
-    anew for 195 hosts they took a third of a choice.
+    The sums are updated with each report, so that a choice reads them at no cost:
+    summed for each choice, they took a third of its time with 195 hosts.
 
     Parameters
     ----------
     peers : dict
-        What each peer told: its own uses, or those of all hosts behind it.
+        Counts that each peer reported: its own, or the sum of all hosts that it reports
+        for.
     total : dict
         The sum over this host and its peers.
     """
@@ -143,23 +148,25 @@
     )
     total: dict[TargetId, UseCounts] = field(default_factory=dict)
 
-    def adjust_own_count(self, target: TargetId, adapter: AdapterRef, by: int) -> int:
-        """Count one of this host's requests in or out; return how many there are."""
-        before = self.own.get((target, adapter), 0)
-        count = max(0, before + by)
+    def adjust_own_count(
+        self, target: TargetId, adapter: AdapterRef, change: int
+    ) -> int:
+        """Change this host's count of uses of an adapter; return the new count."""
+        previous = self.own.get((target, adapter), 0)
+        count = max(0, previous + change)
         self.set_count(self.own, target, adapter, count)
         return count
 
     def apply_peer_count(
         self, host: HostId, target: TargetId, adapter: AdapterRef, count: int
     ) -> None:
-        """Take how many requests of a peer use an adapter from now on."""
+        """Set a peer's count of requests that use an adapter."""
         self.set_count(self.peers.setdefault(host, {}), target, adapter, count)
 
     def apply_peer_end(
         self, host: HostId, target: TargetId, adapter: AdapterRef
     ) -> None:
-        """Take that a host behind a peer uses an adapter no more."""
+        """Lower the count of a peer that reports for a host whose use ended."""
         uses = self.peers.get(host, {})
         count = uses.get((target, adapter), 0)
         self.set_count(uses, target, adapter, max(0, count - 1))
@@ -167,13 +174,13 @@
     def replace_peer_counts(
         self, host: HostId, uses: Mapping[tuple[TargetId, AdapterRef], int]
     ) -> None:
-        """Take all uses of a peer; they replace what it told before."""
+        """Replace all counts that a peer reported before."""
         self.forget_peer(host)
         for (target, adapter), count in uses.items():
             self.apply_peer_count(host, target, adapter, count)
 
     def forget_peer(self, host: HostId) -> None:
-        """Drop the uses of a peer."""
+        """Drop the counts of a peer."""
         for target, adapter in tuple(self.peers.get(host, ())):
             self.apply_peer_count(host, target, adapter, 0)
         self.peers.pop(host, None)
@@ -187,43 +194,43 @@
     ) -> None:
         """Change one host's count, and the sum with it."""
         key = (target, adapter)
-        by = count - uses.get(key, 0)
+        change = count - uses.get(key, 0)
         if count > 0:
             uses[key] = count
         else:
             uses.pop(key, None)
-        on_target = self.total.setdefault(target, {})
-        left = on_target.get(adapter, 0) + by
-        if left > 0:
-            on_target[adapter] = left
+        target_counts = self.total.setdefault(target, {})
+        remaining = target_counts.get(adapter, 0) + change
+        if remaining > 0:
+            target_counts[adapter] = remaining
         else:
-            on_target.pop(adapter, None)
-        if not on_target:
+            target_counts.pop(adapter, None)
+        if not target_counts:
             del self.total[target]
 
     def forget_target(self, target: TargetId) -> None:
-        """Drop all uses on an engine that started again."""
+        """Drop all counts on an engine that has restarted."""
         for uses in (self.own, *self.peers.values()):
             for key in [k for k in uses if k[0] == target]:
                 del uses[key]
         self.total.pop(target, None)
 
     def counts_on(self, target: TargetId) -> Mapping[AdapterRef, int]:
-        """Return how many requests use each adapter on an engine."""
+        """Return the number of requests that use each adapter on an engine."""
         return self.total.get(target, NO_USES)
 
     def count_idle(self, target: TargetId, adapters: Iterable[AdapterRef]) -> int:
-        """Return how many of some adapters on an engine no known request uses."""
+        """Return how many of the given adapters on an engine no known request uses."""
         in_use = self.counts_on(target)
         return sum(1 for adapter in adapters if adapter not in in_use)
 
     def summed_counts(
         self, hosts: Iterable[HostId], targets: Collection[TargetId]
     ) -> dict[tuple[TargetId, AdapterRef], int]:
-        """Return the uses of this host and some peers together, on some engines."""
-        found: dict[tuple[TargetId, AdapterRef], int] = {}
+        """Return the summed counts of this host and the given peers on some engines."""
+        sums: dict[tuple[TargetId, AdapterRef], int] = {}
         for uses in (self.own, *(self.peers.get(h, {}) for h in hosts)):
             for key, count in uses.items():
                 if key[0] in targets:
-                    found[key] = found.get(key, 0) + count
-        return found
+                    sums[key] = sums.get(key, 0) + count
+        return sums
--- a/packages/core/src/sardinequay_core/retry_decision.py
+++ b/packages/core/src/sardinequay_core/retry_decision.py
@@ -1,7 +1,8 @@
-"""What may follow an attempt that did not give a whole answer.
+"""Decision whether a request is retried after an attempt without a complete response.
 
-At most one run for requests that must not be repeated: after bytes have left for a
-target, only its own statement, or the failure to connect, permits another attempt.
+A request that must not be repeated runs at most once: after bytes have left for a
+target, only the target's own statement that it has not run the request, or a failure to
+connect, permits another attempt.
 """
 
 from dataclasses import dataclass
@@ -13,7 +14,7 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended, as far as running is concerned."""
+    """How an attempt ended, as far as execution of the request is concerned."""
 
     NOT_SENT = "not_sent"
     REJECTED = "rejected"
@@ -24,7 +25,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether the target may have begun to run the request."""
+        """Return whether the target may have started to run the request."""
         return self in (
             AttemptEnd.MAY_HAVE_RUN,
             AttemptEnd.BROKEN_OFF,
@@ -33,7 +34,7 @@
 
 
 class RetryDecision(Enum):
-    """What comes after a failed attempt."""
+    """What follows a failed attempt."""
 
     RETRY = "again"
     GIVE_UP_NOT_RUN = "give_up_not_run"
@@ -41,27 +42,27 @@
 
 
 MAX_REJECTIONS = 4
-"""Attempts that targets may reject before a request is given up: beyond that the pool
-is full, and each further arrival makes it fuller."""
+"""Rejections by targets after which a request is given up: beyond that the pool is
+full, and each further arrival adds to its load."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCounts:
-    """A request's history.
+    """Counts of a request's failed attempts.
 
     Parameters
     ----------
     runs : int
         Attempts that ran or may have run.
     rejections : int
-        Attempts that certainly did not.
+        Attempts that certainly did not run.
     """
 
     runs: int = 0
     rejections: int = 0
 
     def with_attempt(self, end: AttemptEnd) -> "AttemptCounts":
-        """Return the history with one more attempt."""
+        """Return the counts with one more attempt."""
         if end.may_have_run:
             return AttemptCounts(self.runs + 1, self.rejections)
         return AttemptCounts(self.runs, self.rejections + 1)
@@ -74,7 +75,7 @@
     remaining: timedelta,
     within_budget: bool,
 ) -> RetryDecision:
-    """Return what follows, with the failed attempt already in `so_far`."""
+    """Return what follows a failed attempt, which is already in `counts`."""
     give_up = (
         RetryDecision.GIVE_UP_MAY_HAVE_RUN
         if counts.runs
--- a/packages/core/src/sardinequay_core/run_permits.py
+++ b/packages/core/src/sardinequay_core/run_permits.py
@@ -1,7 +1,7 @@
-"""One request at a time of a content under suspicion.
+"""Permits that let one request at a time run of a content under suspicion.
 
-Load pattern: copies of one request come at one moment, at several hosts. Each would end
-a target before any host has heard of the first end.
+Load pattern: copies of one request arrive at the same moment at several hosts. Each
+could crash a target before any host has learned of the first crash.
 """
 
 from dataclasses import dataclass, field
@@ -11,18 +11,18 @@
 from .names import ContentId
 
 PERMIT_DURATION = timedelta(seconds=5)
-"""A target that a request ends does so when it begins to run it; what runs for longer
-has most likely another fate, and others may try."""
+"""A request that crashes its target does so when the target starts to run it; one that
+runs for longer is most likely harmless, and another may run."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunPermit:
-    """Leave to run one request of a content.
+    """Permission to run one request of a content.
 
     Parameters
     ----------
     run : str
-        The attempt that has it, unlike any other in the fleet.
+        Id of the attempt that holds the permit, unique in the fleet.
     """
 
     run: str
@@ -31,12 +31,12 @@
 
 @dataclass(slots=True)
 class RunPermits:
-    """Lets one request at a time of each content run."""
+    """Permits by content, at most one at a time for each."""
 
     permits: dict[ContentId, RunPermit] = field(default_factory=dict)
 
     def grant(self, content: ContentId, run: str, now: Instant) -> bool:
-        """Give the permit for a content, unless another run has it."""
+        """Grant the permit for a content, unless another attempt holds it."""
         permit = self.permits.get(content)
         if permit is not None and permit.run != run and now < permit.until:
             return False
@@ -44,13 +44,13 @@
         return True
 
     def release(self, content: ContentId, run: str) -> None:
-        """Take a permit back."""
+        """Release a permit if the attempt holds it."""
         permit = self.permits.get(content)
         if permit is not None and permit.run == run:
             del self.permits[content]
 
     def expire_permits(self, now: Instant) -> None:
-        """Drop permits that ran out."""
+        """Drop permits that have expired."""
         for content, permit in tuple(self.permits.items()):
             if now >= permit.until:
                 del self.permits[content]
--- a/packages/core/src/sardinequay_core/service_choice.py
+++ b/packages/core/src/sardinequay_core/service_choice.py
@@ -1,8 +1,8 @@
-"""Which target of a plain service a request goes to: the one with the least to do.
+"""Choice of the target of a plain service for a request: the least loaded one.
 
-Load pattern: short calls with a goal near their work's length, on targets with few
-places, some of which are slow or full. The fill of a target counts first; a target in
-the own data centre is preferred by less than one request's worth.
+Load pattern: short calls with a latency goal close to their processing time, on targets
+with few slots, some of which are slow or full. The utilisation of a target counts
+first; a target in the host's own data centre is preferred by less than one request.
 """
 
 from collections.abc import Sequence
@@ -11,22 +11,24 @@
 from .names import TargetId
 
 LOCAL_PREFERENCE = 0.08
-"""Fill by which a target elsewhere must be emptier: half a place of six."""
+"""Difference in utilisation at which a target in another data centre is preferred: half
+a slot of six."""
 
 FULL_PENALTY = 2.0
-"""A target that rejected a request a moment ago comes after all that did not."""
+"""Penalty for a target that rejected a request a moment ago: ranks it after all targets
+that did not."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceOption:
-    """One target as a request may use it.
+    """One target as a candidate for a request.
 
     Parameters
     ----------
-    in_work : int
-        Requests that are known to be there.
-    spread : float
-        A random number below 1 that parts equals.
+    in_flight : int
+        Requests in flight on the target, as far as known.
+    tie_breaker : float
+        A random number below 1 that decides between equal targets.
     """
 
     target: TargetId
@@ -39,7 +41,7 @@
 
 
 def option_cost(option: ServiceOption) -> float:
-    """Return an option's rank; the lowest is taken."""
+    """Return the cost of a candidate; the lowest cost is chosen."""
     fill = option.in_flight / max(1, option.slots)
     fill += 0.0 if option.is_local else LOCAL_PREFERENCE
     fill += FULL_PENALTY if option.is_full else 0.0
@@ -48,6 +50,6 @@
 
 
 def select_target(options: Sequence[ServiceOption]) -> TargetId | None:
-    """Return the target to send to, or None if there is none."""
+    """Return the target with the lowest cost, or None if there is none."""
     best = min(options, key=option_cost, default=None)
     return best.target if best is not None else None
--- a/packages/core/src/sardinequay_core/serving.py
+++ b/packages/core/src/sardinequay_core/serving.py
@@ -1,7 +1,7 @@
-"""What is served: routes, pools of targets, the models of a pool, and callers' limits.
+"""Serving configuration: routes, pools of targets, models of a pool, and caller limits.
 
-A `ServingConfig` is the form in which a deployment offers requests of any shape. One
-version is immutable; a higher version replaces a lower one and nothing goes back.
+A `ServingConfig` is how a deployment describes the requests that it serves. One version
+is immutable; a higher version replaces a lower one, and versions never go back.
 """
 
 from collections.abc import Collection, Mapping
@@ -15,7 +15,7 @@
 
 
 class Repetition(Enum):
-    """What may be done with a request after it may have run once."""
+    """Whether a request that may have run once may run again."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -24,12 +24,12 @@
 
     @property
     def is_stream(self) -> bool:
-        """Return whether the answer is a stream of events."""
+        """Return whether the response is a stream of events."""
         return self in (Repetition.STREAM, Repetition.RESUMABLE_STREAM)
 
     @property
     def may_run_again(self) -> bool:
-        """Return whether a second run does no harm."""
+        """Return whether a second run is harmless."""
         return self in (Repetition.IDEMPOTENT, Repetition.RESUMABLE_STREAM)
 
 
@@ -43,20 +43,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host name under one path prefix.
+    """Requests for one host name under one path prefix.
 
     Parameters
     ----------
     prefix : str
         Begins and ends with a slash.
     timeout : timedelta
-        The longest time that a request may be kept, its answer included.
+        The longest time for a request, its response included.
     goal : timedelta
-        Within this time an answer, or a stream's first event, is on time.
+        Latency goal: a response, or a stream's first event, within this time is on
+        time.
     priority : int
         0 is the most urgent.
     max_runs : int
-        Targets on which one request may run.
+        Number of targets on which one request may run.
     max_pause : timedelta or None
         The longest pause between two events of a stream that is on time.
     is_public : bool
@@ -76,7 +77,7 @@
     is_public: bool = False
 
     def pool_for(self, request_id: str) -> PoolName:
-        """Return the pool of one request; the same id always goes the same way."""
+        """Return the pool for a request; the same id always maps to the same pool."""
         total = sum(share.weight for share in self.shares)
         digest = blake2b(request_id.encode(), digest_size=8).digest()
         point = int.from_bytes(digest, "big") / (1 << 64) * total
@@ -94,9 +95,9 @@
     Parameters
     ----------
     weight_mb, adapter_mb : float
-        Memory on an engine, in megabytes.
+        Memory for the model and for one adapter on an engine, in megabytes.
     adapters : int
-        How many adapters exist.
+        Number of adapters that exist.
     """
 
     name: str
@@ -107,20 +108,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EnginePool:
-    """What the engines of a pool can do.
+    """Capacities of the engines of a pool.
 
     Parameters
     ----------
     slots : int
         Requests in one batch.
     token_capacity : int
-        Tokens of prompts and answers that fit in an engine's memory.
+        Tokens of prompts and responses that fit in an engine's memory.
     weight_mb : float
         Memory for models and adapters together, in megabytes.
     adapter_slots : int
-        Places for adapters, those on their way included.
+        Places for adapters, those being loaded included.
     loads_per_s : float
-        Models that the weight store gives a second, over all engines.
+        Models that the weight store delivers a second, over all engines.
     """
 
     slots: int
@@ -133,15 +134,15 @@
     def adapter_capacity(self, held: Collection[str]) -> int:
         """Return how many adapters fit beside the models that an engine holds.
 
-        An engine that is ordered to hold more than its memory takes crashes, so memory
-        bounds the places where it is scarcer than they are.
+        An engine that is ordered to hold more than its memory allows crashes, so memory
+        limits the adapters where it is scarcer than the places.
         """
         models = [m for m in self.models if m.name in held]
         largest_mb = max((m.adapter_mb for m in models), default=0.0)
         if not self.weight_mb or not largest_mb:
             return self.adapter_slots
-        left_mb = self.weight_mb - sum(m.weight_mb for m in models)
-        return max(0, min(self.adapter_slots, int(left_mb / largest_mb)))
+        free_mb = self.weight_mb - sum(m.weight_mb for m in models)
+        return max(0, min(self.adapter_slots, int(free_mb / largest_mb)))
 
     def loadable_models(self) -> tuple[str, ...]:
         """Return the models that fit on an engine that holds nothing."""
@@ -154,14 +155,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetPool:
-    """Targets that serve the same.
+    """Targets that serve the same requests.
 
     Parameters
     ----------
     engines : EnginePool or None
         None for a plain service.
     health_path : str
-        Where its targets tell their health; empty if they do not.
+        Path of the targets' health endpoint; empty if they have none.
     """
 
     name: PoolName
@@ -172,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of a caller's requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -182,12 +183,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingConfig:
-    """One version of what is served.
+    """One version of the serving configuration.
 
     Parameters
     ----------
     organisations : tuple of Organisation or None
-        Whose callers may send requests; None where callers need no keys.
+        Organisations whose callers may send requests; None where callers need no keys.
     """
 
     version: int
@@ -221,7 +222,9 @@
     by_host: dict[str, list[Route]] = {}
     for route in sorted(routes, key=lambda r: (-len(r.prefix), r.prefix, r.name)):
         by_host.setdefault(route.host, []).append(route)
-    index = {host: tuple(found) for host, found in by_host.items()}
-    named = {pool.name: pool for pool in pools}
+    by_host_name = {host: tuple(matching) for host, matching in by_host.items()}
+    by_name = {pool.name: pool for pool in pools}
     by_key = {key: o for o in organisations or () for key in o.keys}
-    return ServingConfig(version, routes, named, limits, organisations, index, by_key)
+    return ServingConfig(
+        version, routes, by_name, limits, organisations, by_host_name, by_key
+    )
--- a/packages/core/src/sardinequay_core/shared_outcomes.py
+++ b/packages/core/src/sardinequay_core/shared_outcomes.py
@@ -1,12 +1,13 @@
-"""What hosts together have seen of targets' answers.
+"""Outcomes of requests at targets, shared between hosts to find failing targets.
 
 Load pattern: many hosts, each of which sends a target a request now and then. A target
-that fails part of its requests, or breaks connections, fails several at each host until
-each has noticed by itself. Hosts therefore tell one another how requests ended at
-targets that fail, and judge them by all of that.
+that fails part of its requests, or breaks connections, would fail several requests of
+each host until every host has found out by itself. Hosts therefore report to each other
+how requests ended at targets that fail, and judge targets by the sum.
 
-Only what a target itself did counts, not that it could not be reached: a broken path of
-one host must not condemn a target for all. It takes failures at more than one host.
+Only failures of the target itself count, not failures to reach it: one host's broken
+network path must not exclude a target for all hosts. Failures at more than one host are
+required.
 """
 
 import math
@@ -17,46 +18,47 @@
 from .names import HostId, TargetId
 
 HALF_LIFE = seconds(4)
-"""Half-life of what was seen: several digests of a large fleet, and short beside the
-trouble of a target."""
+"""Half-life of an outcome: several digests of a large fleet, and short compared with
+the duration of a target's fault."""
 
 PEER_EXPIRY = seconds(6)
-"""How long what a silent peer told counts."""
+"""How long the last report of a silent peer counts."""
 
 MIN_FAILURES_TO_REPORT = 0.5
-"""Failures, over all hosts, from which hosts tell what they saw of a target."""
+"""Failures, summed over all hosts, from which hosts report their outcomes at a
+target."""
 
 MIN_FAILURES = 3.0
-"""Failures, over all hosts, below which nothing is concluded."""
+"""Failures, summed over all hosts, below which a target is not excluded."""
 
 MIN_WITNESSES = 2
-"""Hosts that must have seen failures."""
+"""Number of hosts that must have seen failures before a target is excluded."""
 
 MAX_FAILURE_SHARE = 0.3
-"""Share of failures above which a target is left out by all hosts."""
+"""Share of failures above which all hosts exclude a target."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcomes:
-    """How many requests went well and failed at a target, the older the less.
+    """Decayed counts of requests that succeeded and failed at a target.
 
     Parameters
     ----------
     witnesses : int
-        Hosts whose outcomes these are, of those at which requests failed.
+        Number of hosts that saw failures, among those whose outcomes are summed here.
     """
 
     good: float = 0.0
     failed: float = 0.0
     witnesses: int = 1
 
-    def decayed(self, by: float) -> "Outcomes":
-        """Return what is left after some half-lives."""
-        part = math.exp2(-by)
-        return Outcomes(self.good * part, self.failed * part, self.witnesses)
+    def decayed(self, half_lives: float) -> "Outcomes":
+        """Return the counts after a number of half-lives."""
+        factor = math.exp2(-half_lives)
+        return Outcomes(self.good * factor, self.failed * factor, self.witnesses)
 
     def with_added(self, good: float, failed: float) -> "Outcomes":
-        """Return these with some more."""
+        """Return the counts with more outcomes added."""
         return Outcomes(self.good + good, self.failed + failed, self.witnesses)
 
 
@@ -64,24 +66,24 @@
 TimedOutcomes = tuple[Outcomes, Instant]
 
 
-def sum_outcomes(seen: Collection[Outcomes]) -> Outcomes:
-    """Return what several hosts saw as one."""
+def sum_outcomes(outcomes: Collection[Outcomes]) -> Outcomes:
+    """Return the sum of the outcomes of several hosts."""
     return Outcomes(
-        round(sum(o.good for o in seen), 2),
-        round(sum(o.failed for o in seen), 2),
-        sum(o.witnesses for o in seen if o.failed >= MIN_FAILURES_TO_REPORT),
+        round(sum(o.good for o in outcomes), 2),
+        round(sum(o.failed for o in outcomes), 2),
+        sum(o.witnesses for o in outcomes if o.failed >= MIN_FAILURES_TO_REPORT),
     )
 
 
 @dataclass(slots=True)
 class OutcomeTally:
-    """The outcomes that one host and its peers saw.
+    """Outcomes at all targets that this host and its peers saw.
 
     Parameters
     ----------
-    told : dict
-        What peers told of each target, and when. Kept by target, as most targets are
-        told of by nobody, and each choice asks for all of them.
+    reported : dict
+        Peers' outcomes and the time of each report, by target. The target comes first,
+        since most targets are in no report and each choice looks up all of them.
     """
 
     own: dict[TargetId, TimedOutcomes] = field(default_factory=dict)
@@ -90,47 +92,47 @@
     def record_outcome(
         self, target: TargetId, now: Instant, good: float = 0.0, failed: float = 0.0
     ) -> None:
-        """Count one request's end."""
+        """Count the end of one request."""
         self.own[target] = (
             self.own_outcomes(target, now).with_added(good, failed),
             now,
         )
 
     def own_outcomes(self, target: TargetId, now: Instant) -> Outcomes:
-        """Return what this host saw of a target."""
-        outcomes, at = self.own.get(target, (NO_OUTCOMES, now))
-        return outcomes.decayed((now - at) / HALF_LIFE)
+        """Return the decayed outcomes that this host saw at a target."""
+        outcomes, recorded_at = self.own.get(target, (NO_OUTCOMES, now))
+        return outcomes.decayed((now - recorded_at) / HALF_LIFE)
 
     def apply_peer_outcomes(
-        self, host: HostId, told: Mapping[TargetId, Outcomes], now: Instant
+        self, host: HostId, report: Mapping[TargetId, Outcomes], now: Instant
     ) -> None:
-        """Take what a peer tells; it replaces what it told before."""
-        if told or self.reported:
+        """Replace the outcomes that a peer reported before by those of a new report."""
+        if report or self.reported:
             self.forget_peer(host)
-        for target, outcomes in told.items():
+        for target, outcomes in report.items():
             self.reported.setdefault(target, {})[host] = (outcomes, now)
 
     def apply_fleet_outcomes(
-        self, host: HostId, told: Mapping[TargetId, Outcomes], now: Instant
+        self, host: HostId, report: Mapping[TargetId, Outcomes], now: Instant
     ) -> None:
-        """Take from one peer what all others saw."""
+        """Replace the reports of all peers by the hub's sum over all other hosts."""
         self.reported.clear()
-        self.apply_peer_outcomes(host, told, now)
+        self.apply_peer_outcomes(host, report, now)
 
     def summed_outcomes(
         self, hosts: Collection[HostId], now: Instant
     ) -> dict[TargetId, Outcomes]:
-        """Return what this host and some peers saw together of targets that fail."""
-        found = {}
+        """Return the sums for this host and the given peers, of targets to report."""
+        sums = {}
         for target in sorted(self.own.keys() | self.reported.keys()):
-            mine = self.own_outcomes(target, now)
-            if not self.should_report(target, mine, now):
+            own = self.own_outcomes(target, now)
+            if not self.should_report(target, own, now):
                 continue
-            found[target] = sum_outcomes(self.outcomes_by_host(target, now, hosts))
-        return found
+            sums[target] = sum_outcomes(self.outcomes_by_host(target, now, hosts))
+        return sums
 
     def forget_peer(self, host: HostId) -> None:
-        """Drop what a peer told."""
+        """Drop the outcomes that a peer reported."""
         for target in tuple(self.reported):
             by_host = self.reported[target]
             by_host.pop(host, None)
@@ -138,69 +140,72 @@
                 del self.reported[target]
 
     def forget_target(self, target: TargetId) -> None:
-        """Drop what is known of a target that started again or is gone."""
+        """Drop all outcomes at a target that has restarted or is gone."""
         self.own.pop(target, None)
         self.reported.pop(target, None)
 
     def outcomes_by_host(
         self, target: TargetId, now: Instant, hosts: Collection[HostId] | None = None
     ) -> list[Outcomes]:
-        """Return what each host saw of a target that tells of it, this one first.
+        """Return each reporting host's decayed outcomes at a target, this host's first.
 
         Parameters
         ----------
         hosts : collection of HostId or None
-            The peers to count; None for all.
+            The peers to include; None for all.
         """
         found = [self.own_outcomes(target, now)]
-        for host, (outcomes, at) in self.reported.get(target, {}).items():
-            if now - at < PEER_EXPIRY and (hosts is None or host in hosts):
-                found.append(outcomes.decayed((now - at) / HALF_LIFE))
+        for host, (outcomes, reported_at) in self.reported.get(target, {}).items():
+            if now - reported_at < PEER_EXPIRY and (hosts is None or host in hosts):
+                found.append(outcomes.decayed((now - reported_at) / HALF_LIFE))
         return found
 
     def outcomes_to_report(self, now: Instant) -> dict[TargetId, Outcomes]:
-        """Return what this host saw of targets at which requests fail anywhere.
+        """Return this host's outcomes at targets where requests fail at any host.
 
-        Hosts at which all went well tell that, too, once they hear of failures.
+        Hosts at which all requests succeeded report that, too, once peers report
+        failures.
         """
         failing = {
             t
-            for t, (seen, _) in self.own.items()
-            if seen.failed >= MIN_FAILURES_TO_REPORT
+            for t, (own, _) in self.own.items()
+            if own.failed >= MIN_FAILURES_TO_REPORT
         }
         found = {}
         for target in sorted(failing | self.reported.keys()):
-            seen = self.own_outcomes(target, now)
-            if (seen.good or seen.failed) and self.should_report(target, seen, now):
-                found[target] = Outcomes(round(seen.good, 2), round(seen.failed, 2))
+            own = self.own_outcomes(target, now)
+            if (own.good or own.failed) and self.should_report(target, own, now):
+                found[target] = Outcomes(round(own.good, 2), round(own.failed, 2))
         return found
 
-    def should_report(self, target: TargetId, seen: Outcomes, now: Instant) -> bool:
-        """Return whether enough failed at a target, over all hosts, to tell of it.
+    def should_report(self, target: TargetId, own: Outcomes, now: Instant) -> bool:
+        """Return whether failures at a target, over all hosts, are enough to report.
 
-        Counts no further than it must, as each digest asks for each target.
+        The sum stops at the threshold, since each digest calls this for each target.
         """
-        failed = seen.failed
-        for outcomes, at in self.reported.get(target, {}).values():
+        failed = own.failed
+        for outcomes, reported_at in self.reported.get(target, {}).values():
             if failed >= MIN_FAILURES_TO_REPORT:
                 break
-            if now - at < PEER_EXPIRY:
-                failed += outcomes.failed * math.exp2(-((now - at) / HALF_LIFE))
+            if now - reported_at < PEER_EXPIRY:
+                failed += outcomes.failed * math.exp2(
+                    -((now - reported_at) / HALF_LIFE)
+                )
         return failed >= MIN_FAILURES_TO_REPORT
 
     def is_excluded(self, target: TargetId, now: Instant) -> bool:
-        """Return whether hosts together have seen too much fail at a target."""
+        """Return whether the outcomes of all hosts together exclude a target."""
         if target not in self.reported:
-            # Failures at one host alone condemn nothing. Each choice asks for each
-            # target, so that most answers must cost nothing.
+            # Failures at one host alone exclude no target. Each choice checks each
+            # target, so the common case has to be cheap.
             return False
-        seen = self.outcomes_by_host(target, now)
-        failed = sum(o.failed for o in seen)
+        by_host = self.outcomes_by_host(target, now)
+        failed = sum(o.failed for o in by_host)
         if failed < MIN_FAILURES:
             return False
         if (
-            sum(o.witnesses for o in seen if o.failed >= MIN_FAILURES_TO_REPORT)
+            sum(o.witnesses for o in by_host if o.failed >= MIN_FAILURES_TO_REPORT)
             < MIN_WITNESSES
         ):
             return False
-        return failed > MAX_FAILURE_SHARE * (failed + sum(o.good for o in seen))
+        return failed > MAX_FAILURE_SHARE * (failed + sum(o.good for o in by_host))
--- a/packages/core/src/sardinequay_core/target_choice.py
+++ b/packages/core/src/sardinequay_core/target_choice.py
@@ -1,10 +1,10 @@
-"""Where one model request goes: to an engine that has its adapter, or one to load it.
+"""Choice of an engine for a model request: one with its adapter, or one to load it.
 
-Load pattern: a few engines with few places for adapters, steeply skewed demand, and
-prompts whose reading is the bottleneck. An adapter stays on as few engines as carry it,
-since each further copy costs a load from the weight store and a place; a copy is worth
-it only when waiting for the engines that have the adapter costs more than loading it.
-A request that cannot have its first event in the time it has is refused at once.
+Load pattern: a few engines with few adapter places, steeply skewed demand, and prompt
+processing as the bottleneck. An adapter stays on as few engines as its load needs,
+since each extra copy costs a load from the weight store and a place. An extra copy is
+made only when queueing at the engines that have the adapter costs more than loading it.
+A request whose first event cannot come within its remaining time is refused at once.
 """
 
 from collections.abc import Sequence
@@ -14,51 +14,62 @@
 from .names import TargetId
 
 WARM_LOAD_S = 0.04
-"""A load from an engine's own memory, with the order's way, in seconds."""
+"""Time for a load from an engine's own memory, in seconds, including the delivery of
+the load order."""
 
 COLD_LOAD_S = 0.3
-"""A load from the weight store at full speed, with the order's way, in seconds."""
+"""Time for a load from the weight store at full speed, in seconds, including the
+delivery of the load order."""
 
 EXTRA_COPY_COST_S = 2.0
-"""What a further copy of an adapter must save in waiting to be worth a cold load and a
-place, of which there are fewer than adapters in demand."""
+"""Waiting time that an extra copy of an adapter must save to justify a cold load and an
+adapter place, in seconds: there are fewer places than adapters in demand."""
 
 EXTRA_WARM_COPY_COST_S = 0.1
-"""The same where the engine had the adapter lately and loads it from memory."""
+"""The same cost on an engine that had the adapter recently and loads it from memory."""
 
 DESIRED_COPY_COST_S = 0.1
-"""What a copy counts for that the adapter's share of all requests is due: enough that
-an idle engine that has it goes first."""
+"""Cost of a copy that the adapter's share of all requests calls for, in seconds: enough
+that an idle engine which already has the adapter is preferred."""
 
 EVICTION_COST_S = 0.03
-"""Evicting an idle adapter first: one more order, and the risk that none is idle."""
+"""Cost of evicting an idle adapter first, in seconds: one more order, and the risk that
+no adapter is idle by then."""
 
 ALL_IN_USE_WAIT_S = 0.2
-"""Waiting until one of the adapters in use falls idle, beside the queue for places."""
+"""Expected wait until one of the adapters in use becomes idle, in seconds, in addition
+to the queue for places."""
 
 FAILED_ENGINE_PENALTY_S = 0.5
-"""An engine that failed this request, or did not get its adapter in time."""
+"""Penalty for an engine that failed this request or did not get its adapter in time, in
+seconds."""
 
 FULL_ENGINE_PENALTY_S = 0.3
-"""An engine that rejected a request a moment ago because it was full."""
+"""Penalty for an engine that rejected a request a moment ago because it was full, in
+seconds."""
 
 CROSS_DATA_CENTRE_S = 0.004
-"""Crossing to another data centre and back; also keeps bytes between them few."""
+"""Round trip to another data centre, in seconds; also keeps traffic between data
+centres low."""
 
 HOME_RANK_COST_S = 0.012
-"""How much the rank for a new adapter weighs: enough that hosts that see loads a
-little differently load it on the same engine."""
+"""Cost of each rank in the preference order of engines for a new adapter, in seconds:
+enough that hosts whose load views differ slightly load it on the same engine."""
 
 MAX_WAIT_SHARE = 0.85
-"""Share of the time left that may go by before the first event is expected."""
+"""Share of the remaining time within which the first event has to be expected."""
 
 RETRY_AFTER_SHARE = 0.6
-"""Part of the expected wait after which a refused caller is told to come back: most of
-the queue is gone by then, and enough of its time is left."""
+"""Share of the expected wait after which a refused caller is told to retry: most of the
+queue has been served by then, and the caller still has enough of its time."""
 
 
 class AdapterState(Enum):
-    """Whether an engine has a request's adapter."""
+    """Whether an engine has a request's adapter.
+
+    RECENT means that the engine recently had the adapter and can load it from memory,
+    COMING that a load is ordered or running.
+    """
 
     RESIDENT = "resident"
     COMING = "coming"
@@ -68,30 +79,30 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOption:
-    """One engine as a request may use it.
+    """One engine as a candidate for a request.
 
     Parameters
     ----------
     first_event_s : float
-        Expected time to the first event if the adapter is there, in seconds.
-    ready_in_s : float
-        For an adapter that is coming: when it is expected, in seconds.
+        Expected time to the first event if the adapter is resident, in seconds.
+    loaded_in_s : float
+        Expected time until an adapter that is being loaded is resident, in seconds.
     free_places : int
-        Places for adapters that are free.
+        Free adapter places.
     idle_adapters : int
-        Adapters that no known request uses.
+        Resident adapters that no known request uses.
     home_rank : int
-        This engine's rank for the adapter; 0 is its home.
+        This engine's rank in the adapter's preference order; 0 is its home.
     may_load : bool
-        Whether somebody can order loads there.
-    opens_in_s : float
-        In how long that begins, in seconds: a new keeper waits at first.
+        Whether any keeper can order loads on the engine.
+    keeper_wait_s : float
+        Time until its keeper may order loads, in seconds; a new keeper waits first.
     queued : int
-        Adapters that wait for a place there.
+        Adapters that wait for a place on the engine.
     turnover_s : float
-        Time between two loads while it is full, in seconds.
-    told_s : float or None
-        How long the adapter would take, as the engine's keeper said, in seconds.
+        Time between two loads while the engine is full, in seconds.
+    keeper_estimate_s : float or None
+        The keeper's own estimate of the time until the adapter is loaded, in seconds.
     """
 
     target: TargetId
@@ -121,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOnEngine:
-    """Have the adapter loaded on an engine, then choose anew."""
+    """Have the adapter loaded on an engine, then choose again."""
 
     target: TargetId
     expected_s: float
@@ -129,14 +140,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EnginesTooBusy:
-    """No engine can begin in time; `wait_s` until one could."""
+    """No engine can send a first event in time; `wait_s` is the time to retry after."""
 
     wait_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class NoEngine:
-    """No engine has the adapter and nobody can order it to be loaded."""
+    """No engine has the adapter and no keeper can order a load."""
 
 
 EngineChoice = SendToEngine | LoadOnEngine | EnginesTooBusy | NoEngine
@@ -144,12 +155,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterCopies:
-    """Whether any engine has a request's adapter, or had it lately.
+    """Whether any engine has, or recently had, a request's adapter.
 
     Parameters
     ----------
-    is_due : bool
-        Whether fewer engines have it than its share of all requests is due.
+    is_below_desired : bool
+        Whether at least one engine has the adapter, but fewer than its share of all
+        requests calls for.
     """
 
     any_resident: bool
@@ -158,14 +170,16 @@
 
 
 def count_copies(options: Sequence[EngineOption], desired: int) -> AdapterCopies:
-    """Return where a request's adapter is, over all engines."""
-    held = [o.adapter_state for o in options]
-    there = held.count(AdapterState.RESIDENT) + held.count(AdapterState.COMING)
-    return AdapterCopies(there > 0, AdapterState.RECENT in held, 0 < there < desired)
+    """Summarise the state of a request's adapter over all engines."""
+    states = [o.adapter_state for o in options]
+    available = states.count(AdapterState.RESIDENT) + states.count(AdapterState.COMING)
+    return AdapterCopies(
+        available > 0, AdapterState.RECENT in states, 0 < available < desired
+    )
 
 
 def expected_load_s(option: EngineOption) -> float:
-    """Return when the adapter is expected on an engine, in seconds."""
+    """Return the expected time until an engine has the adapter, in seconds."""
     if option.adapter_state is AdapterState.RESIDENT:
         return 0.0
     if option.adapter_state is AdapterState.COMING:
@@ -181,13 +195,13 @@
 
 
 def expected_first_event_s(option: EngineOption) -> float:
-    """Return when a request's first event is expected from an engine, in seconds."""
+    """Return the expected time to a request's first event, in seconds."""
     crossing_s = 0.0 if option.is_local else CROSS_DATA_CENTRE_S
     return option.first_event_s + crossing_s + expected_load_s(option)
 
 
 def copy_cost_s(option: EngineOption, copies: AdapterCopies) -> float:
-    """Return what another copy of the adapter counts for, in seconds."""
+    """Return the cost of an extra copy of the adapter on an engine, in seconds."""
     if option.adapter_state in (AdapterState.RESIDENT, AdapterState.COMING):
         return 0.0
     if option.adapter_state is AdapterState.RECENT:
@@ -200,7 +214,7 @@
 
 
 def total_cost_s(option: EngineOption, copies: AdapterCopies) -> float:
-    """Return what sending a request to an engine counts for, in seconds."""
+    """Return the cost of sending a request to an engine, in seconds."""
     cost = expected_first_event_s(option) + copy_cost_s(option, copies)
     if option.is_full:
         cost += FULL_ENGINE_PENALTY_S
@@ -212,14 +226,14 @@
 def select_engine(
     options: Sequence[EngineOption], remaining_s: float, desired_copies: int = 1
 ) -> EngineChoice:
-    """Return where a request goes.
+    """Choose the engine for a request, or the reason why there is none.
 
     Parameters
     ----------
-    left_s : float
+    remaining_s : float
         How long the request can wait for its first event, in seconds.
-    copies_due : int
-        On how many engines its adapter should be by its share of all requests.
+    desired_copies : int
+        Number of engines that should have the adapter by its share of all requests.
     """
     eligible = [
         o for o in options if o.adapter_state is AdapterState.RESIDENT or o.may_load
--- a/packages/core/src/sardinequay_core/target_health.py
+++ b/packages/core/src/sardinequay_core/target_health.py
@@ -1,12 +1,13 @@
-"""Which targets to trust, judged by what became of this host's own requests.
-
-Health answers of a target are hints at best: a target may fail requests while it says
-that it is well. A target whose requests fail is left out for a while that doubles, then
-tried with one request at a time. If too many of a pool fail their requests, all are
-used: the fault is then more likely on the way than in every target. Targets that cannot
-be reached do not count there: while a data centre is cut off, its hosts serve with the
-few that they reach. Counted, four attempts in a row went to unreachable targets and the
-request was refused (201 such attempts in a cut of 5.6 s).
+"""Passive health checks: judge targets by the results of this host's own requests.
+
+A target's own health endpoint is only a hint: a target may fail requests while it
+reports that it is healthy. A target whose requests fail is excluded for a pause that
+doubles each time, then tried with one request at a time. If too many targets of a pool
+fail, all of them are used: the fault is then more likely on the network path than in
+every target. Unreachable targets do not count in that rule: while a data centre is cut
+off, its hosts serve with the few targets that they reach. When they were counted, four
+attempts in a row went to unreachable targets and the request was refused (201 such
+attempts in a partition of 5.6 s).
 """
 
 from collections.abc import Iterable
@@ -21,13 +22,13 @@
 
 
 def trial_turn_of(host: HostId) -> float:
-    """Return a number from 0 to 1 that parts the turns of hosts."""
+    """Map a host to a number from 0 to 1 that spreads the trials of hosts over time."""
     digest = blake2b(host.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") / (1 << 32)
 
 
 class AttemptResult(Enum):
-    """What one attempt said of its target."""
+    """Result of one attempt, as evidence about its target."""
 
     SUCCEEDED = "good"
     REJECTED = "rejected"
@@ -38,29 +39,30 @@
 
 
 TIMEOUT_WEIGHT = 0.5
-"""How much a request whose time ran out counts against its target: it may have been the
-request. A target that is gone shows by connections that cannot be opened."""
+"""Weight of a timed-out request in its target's failure rate: the request itself may be
+the cause. A target that is gone shows by connections that cannot be opened."""
 
 
 @dataclass(frozen=True, slots=True)
 class HealthPolicy:
-    """When a target is left out.
+    """Thresholds and durations for excluding targets.
 
     Parameters
     ----------
     first_pause, longest_pause : timedelta
-        How long a target is left out at first, and at most. The first is about the time
-        that a crashed process takes to restart.
-    failure_memory : float
-        Weight of the past in the rate of failures at each new outcome; 0.8 looks back
-        on about five requests, as many as one host sends a target in a few seconds.
-    tolerated : float
-        Rate of failures above which a target is left out.
-    full_for : timedelta
+        First and longest time for which a target is excluded. The first is about the
+        time that a crashed process takes to restart.
+    failure_decay : float
+        Weight of the old failure rate at each new result; 0.8 averages over about five
+        requests, as many as one host sends a target in a few seconds.
+    max_failure_rate : float
+        Failure rate above which a target is excluded.
+    full_duration : timedelta
         How long a target that rejected a request counts as full.
-    shared_pause : timedelta
-        How often one host after the other tries a target that hosts together left out.
-    least_usable : float
+    shared_trial_interval : timedelta
+        Interval between the trials of two hosts at a target that all hosts exclude by
+        their shared outcomes.
+    min_usable_share : float
         Share of the reachable targets of a pool below which all of them are used.
     """
 
@@ -75,7 +77,7 @@
 
 @dataclass(slots=True)
 class TargetHealthRecord:
-    """What this host remembers of one target."""
+    """Health state that this host keeps for one target."""
 
     failure_rate: float = 0.0
     pauses: int = 0
@@ -90,12 +92,13 @@
 
 @dataclass(slots=True)
 class TargetHealth:
-    """Records of all targets.
+    """Health state of all targets, by this host's requests and its peers' reports.
 
     Parameters
     ----------
-    turn : float
-        From 0 to 1, where this host comes among those that try a target in turn.
+    trial_turn : float
+        Position of this host, from 0 to 1, in the order in which hosts try a target
+        that all of them exclude.
     """
 
     policy: HealthPolicy = field(default_factory=HealthPolicy)
@@ -105,11 +108,11 @@
     host_count: int = 1
 
     def get_record(self, target: TargetId) -> TargetHealthRecord:
-        """Return the record of a target."""
+        """Return the record of a target, created if it is missing."""
         return self.records.setdefault(target, TargetHealthRecord())
 
     def is_usable(self, target: TargetId, now: Instant) -> bool:
-        """Return whether a request may go to a target now."""
+        """Return whether a request may be sent to a target now."""
         if not self.is_allowed_by_shared_outcomes(target, now):
             return False
         record = self.records.get(target)
@@ -120,27 +123,27 @@
         return not (record.is_on_trial and record.has_trial_running)
 
     def is_allowed_by_shared_outcomes(self, target: TargetId, now: Instant) -> bool:
-        """Return whether hosts together trust a target, or it is this one's to try."""
+        """Return whether peers' reports allow a target, or this host's trial is due."""
         if not self.tally.is_excluded(target, now):
             if target in self.records:
                 self.records[target].shared_trial_at = None
             return True
         record = self.get_record(target)
         if record.shared_trial_at is None:
-            round_s = self.policy.shared_trial_interval * self.host_count
-            record.shared_trial_at = now + round_s * self.trial_turn
+            trial_cycle = self.policy.shared_trial_interval * self.host_count
+            record.shared_trial_at = now + trial_cycle * self.trial_turn
         return now >= record.shared_trial_at
 
     def usable_targets(
         self, targets: Iterable[TargetId], now: Instant
     ) -> frozenset[TargetId]:
-        """Return the usable targets of a pool, or all reachable if hardly any is."""
-        everything = frozenset(targets)
-        chosen = frozenset(t for t in everything if self.is_usable(t, now))
-        reachable = chosen | {t for t in everything if not self.is_unreachable(t)}
-        if len(chosen) < self.policy.min_usable_share * len(reachable):
+        """Return a pool's usable targets, or all reachable if too few are usable."""
+        listed = frozenset(targets)
+        usable = frozenset(t for t in listed if self.is_usable(t, now))
+        reachable = usable | {t for t in listed if not self.is_unreachable(t)}
+        if len(usable) < self.policy.min_usable_share * len(reachable):
             return reachable
-        return chosen or everything
+        return usable or listed
 
     def is_unreachable(self, target: TargetId) -> bool:
         """Return whether the last attempt could not open a connection to a target."""
@@ -153,7 +156,7 @@
         return record is not None and now < record.full_until
 
     def record_sent(self, target: TargetId) -> None:
-        """Note that a request goes to a target."""
+        """Record that a request is sent to a target; it may be the target's trial."""
         record = self.get_record(target)
         record.has_trial_running = record.is_on_trial
         if record.shared_trial_at is not None:
@@ -162,10 +165,10 @@
             )
 
     def record_request_end(self, target: TargetId) -> None:
-        """Note that a request is no longer there, whatever became of it.
+        """Record that a request has left a target, whatever its result.
 
-        One that was a trial and showed nothing, as its caller left, makes way for
-        another.
+        A trial request that showed no result, because its caller disconnected, makes
+        way for another trial.
         """
         record = self.records.get(target)
         if record is not None:
@@ -174,10 +177,10 @@
     def record_result(
         self, target: TargetId, result: AttemptResult, sent_at: Instant, now: Instant
     ) -> bool:
-        """Take what became of an attempt; return whether the target is now left out.
+        """Record the result of an attempt; return whether its target is now excluded.
 
-        Silence until a request's own time is over says nothing of a target that has
-        answered others meanwhile: some requests take longer than they may.
+        A timeout says nothing about a target that has answered other requests since the
+        attempt began: some requests take longer than their own deadline allows.
         """
         record = self.get_record(target)
         record.has_trial_running = False
@@ -199,7 +202,7 @@
         return self.record_failure(record, result, now)
 
     def record_success(self, record: TargetHealthRecord, now: Instant) -> None:
-        """Take a good answer."""
+        """Lower a target's failure rate after a successful attempt."""
         record.answered_at = now
         record.failure_rate *= self.policy.failure_decay
         record.is_on_trial = False
@@ -209,10 +212,10 @@
     def record_failure(
         self, record: TargetHealthRecord, result: AttemptResult, now: Instant
     ) -> bool:
-        """Take a failure; return whether the target is now left out."""
-        memory = self.policy.failure_decay
+        """Raise a target's failure rate; return whether the target is now excluded."""
+        decay = self.policy.failure_decay
         weight = TIMEOUT_WEIGHT if result is AttemptResult.TIMED_OUT else 1.0
-        record.failure_rate = record.failure_rate * memory + (1 - memory) * weight
+        record.failure_rate = record.failure_rate * decay + (1 - decay) * weight
         is_certain = result in (
             AttemptResult.UNREACHABLE,
             AttemptResult.CONNECTION_LOST,
@@ -227,7 +230,7 @@
         return True
 
     def exclude_target(self, record: TargetHealthRecord, now: Instant) -> None:
-        """Leave a target out, for longer each time."""
+        """Exclude a target for a pause that doubles each time."""
         if now < record.excluded_until:
             return
         pause = self.policy.first_pause * 2**record.pauses
@@ -236,7 +239,7 @@
         record.is_on_trial = True
 
     def forget_target(self, target: TargetId) -> None:
-        """Drop the record of a target that started again."""
+        """Drop the record of a target that has restarted."""
         self.records.pop(target, None)
         self.tally.forget_target(target)
 
--- a/packages/core/src/sardinequay_core/usage_view.py
+++ b/packages/core/src/sardinequay_core/usage_view.py
@@ -1,9 +1,9 @@
-"""What organisations use over all hosts: counted by each, told as sums, never as news.
+"""Usage of organisations over all hosts, shared as sums that only grow.
 
-Each host counts what it was asked for and what it admitted since it started. Counters
-that only grow may be told late, twice or not at all: the next one makes up for it. What
-a peer tells may be its own count, or the sum of all hosts behind it (`fleet_topology`),
-and this host's own sums are made so that they never fall either.
+Each host counts the demand it received and the usage it admitted since it started.
+Counters that only grow may arrive late, twice or not at all: the next one makes up for
+it. A peer reports either its own counts or the sum of all hosts behind it
+(`fleet_topology`), and this host computes its own sums so that they never fall either.
 """
 
 import math
@@ -17,31 +17,32 @@
 from .organisations import OrganisationName
 
 FLOW_TIME_CONSTANT_S = 0.5
-"""Time constant of a peer's measured flow, in seconds: about two exchanges."""
+"""Time constant of a peer's measured usage flow, in seconds: about two digests."""
 
 MIN_FLOW = 0.01
-"""A flow below this, in the quota's unit a second, is none."""
+"""A flow below this, in the quota's unit a second, counts as zero."""
 
 RECENT_START = seconds(3)
-"""What a peer counted that has been up for less than this is all recent."""
+"""All counts of a peer that has been up for less than this are recent usage."""
 
 REPORT_DURATION = seconds(3)
-"""How long a count that changed is told: many exchanges, so that one is heard."""
+"""How long a changed count is repeated in reports: many digests, so that one
+arrives."""
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What an organisation asked for and what was admitted, in its quota's unit."""
+    """Demand and admitted usage of an organisation, in its quota's unit."""
 
     asked: int = 0
     admitted: int = 0
 
     def with_added(self, other: "Usage") -> "Usage":
-        """Return both together."""
+        """Return the sum of two usages."""
         return Usage(self.asked + other.asked, self.admitted + other.admitted)
 
     def without(self, other: "Usage") -> "Usage":
-        """Return this without another that is part of it."""
+        """Return this usage minus another that is part of it."""
         return Usage(self.asked - other.asked, self.admitted - other.admitted)
 
 
@@ -52,22 +53,22 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageFlow:
-    """What is asked for and admitted a second."""
+    """Demand and admitted usage a second."""
 
     asked_per_s: float = 0.0
     admitted_per_s: float = 0.0
 
-    def updated(self, gained: Usage, over_s: float) -> "UsageFlow":
-        """Return the flow after some more was used within a time."""
-        weight = 1 - math.exp(-over_s / FLOW_TIME_CONSTANT_S)
-        asked = self.asked_per_s + weight * (gained.asked / over_s - self.asked_per_s)
+    def updated(self, gain: Usage, span_s: float) -> "UsageFlow":
+        """Return the flow averaged with the usage gained over some seconds."""
+        weight = 1 - math.exp(-span_s / FLOW_TIME_CONSTANT_S)
+        asked = self.asked_per_s + weight * (gain.asked / span_s - self.asked_per_s)
         admitted = self.admitted_per_s + weight * (
-            gained.admitted / over_s - self.admitted_per_s
+            gain.admitted / span_s - self.admitted_per_s
         )
         return UsageFlow(max(0.0, asked), max(0.0, admitted))
 
     def usage_over(self, span_s: float) -> Usage:
-        """Return what is used in a time, in seconds."""
+        """Return the usage expected over a time span, in seconds."""
         return Usage(
             round(self.asked_per_s * span_s), round(self.admitted_per_s * span_s)
         )
@@ -78,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedUsage:
-    """What a peer tells of usage.
+    """Usage that a peer reports.
 
     Parameters
     ----------
-    up : timedelta
-        How long ago it started to count.
+    uptime : timedelta
+        Time since the peer started to count.
     has_restarted : bool
-        Whether it has started anew since it was heard last.
+        Whether the peer has restarted since its last report.
     """
 
     scope: DigestScope
@@ -96,15 +97,15 @@
 
 @dataclass(slots=True)
 class UsageSource:
-    """What one peer told, for itself or for all behind it.
+    """Latest report of one peer, for itself or for all hosts that it reports for.
 
     Parameters
     ----------
-    first_at : timedelta
-        When it was heard first.
-    since_start : bool
-        Whether all that it counted is known, or is to be. Else a count that is told
-        for the first time may be hours old.
+    first_reported_at : timedelta
+        When its first report arrived.
+    is_complete : bool
+        Whether all that it counted since its start is known or will be reported.
+        Otherwise a count that is reported for the first time may be hours old.
     """
 
     scope: DigestScope
@@ -115,26 +116,26 @@
     flows: dict[OrganisationName, UsageFlow] = field(default_factory=dict)
 
     def record_flow(self, organisation: OrganisationName, flow: UsageFlow) -> None:
-        """Take what an organisation uses there now; next to nothing is nothing."""
+        """Set an organisation's flow; a flow that is nearly zero is dropped."""
         if max(flow.asked_per_s, flow.admitted_per_s) < MIN_FLOW:
             self.flows.pop(organisation, None)
         else:
             self.flows[organisation] = flow
 
     def expected_usage(self, now: Instant) -> UsageCounts:
-        """Return what is expected to be used since the source was heard."""
+        """Return the usage expected since the last report, by its flows."""
         since_s = (now - self.reported_at).total_seconds()
         return {o: flow.usage_over(since_s) for o, flow in self.flows.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class UsageGain:
-    """What became known of an organisation's usage elsewhere.
+    """Usage of an organisation at other hosts that a report made known.
 
     Parameters
     ----------
-    foreseen : float
-        What the source's flow had let expect to be admitted since it was heard last.
+    expected_admitted : float
+        Admitted usage expected since the last report, by the source's flow.
     """
 
     organisation: OrganisationName
@@ -144,19 +145,19 @@
 
 @dataclass(slots=True)
 class UsageView:
-    """Counts of one host, and those that its peers told.
+    """Usage counts of this host and its peers.
 
     Parameters
     ----------
-    near, far : dict
-        What was gained since this host started from hosts of its data centre, and from
+    local_gains, remote_gains : dict
+        Usage gained since this host started from hosts of its data centre, and from
         those of others.
-    gained : dict
-        The part of `near` of each host.
+    gains_by_host : dict
+        The part of `local_gains` of each host.
     changed_at : dict
-        When a count of an organisation changed last.
-    opened_at : dict
-        When an organisation became known here.
+        When a count of an organisation last changed.
+    added_at : dict
+        When an organisation became known to this host.
     """
 
     own: UsageCounts = field(default_factory=dict)
@@ -170,61 +171,61 @@
     def record_usage(
         self, organisation: OrganisationName, usage: Usage, now: Instant
     ) -> None:
-        """Count what this host was asked for or admitted."""
+        """Count demand or admitted usage at this host."""
         add_usage(self.own, organisation, usage)
         self.changed_at[organisation] = now
 
     def apply_report(
-        self, host: HostId, told: ReportedUsage, now: Instant
+        self, host: HostId, report: ReportedUsage, now: Instant
     ) -> list[UsageGain]:
-        """Take a peer's counts; return what they say that was not known."""
-        scope = told.scope
+        """Apply a peer's counts; return the usage that was not known before."""
+        scope = report.scope
         source = self.sources.get(host)
-        if source is None or source.scope is not scope or told.has_restarted:
-            source = self.sources[host] = new_source(told, now)
-        over_s = (now - source.reported_at).total_seconds()
+        if source is None or source.scope is not scope or report.has_restarted:
+            source = self.sources[host] = new_source(report, now)
+        span_s = (now - source.reported_at).total_seconds()
         gains = [
-            self.compute_gain(source, organisation, told.counts, over_s)
-            for organisation in self.affected_organisations(host, told.counts)
+            self.compute_gain(source, organisation, report.counts, span_s)
+            for organisation in self.affected_organisations(host, report.counts)
         ]
         for gain in gains:
             self.record_gain(host, scope, gain, now)
-        source.reported_counts.update(told.counts)
+        source.reported_counts.update(report.counts)
         source.reported_at = now
         return gains
 
     def affected_organisations(
-        self, host: HostId, told: UsageCounts
+        self, host: HostId, counts: UsageCounts
     ) -> tuple[OrganisationName, ...]:
-        """Return the organisations of which a peer says something by these counts."""
+        """Return the organisations whose usage a report with these counts updates."""
         source = self.sources.get(host)
         flows = source.flows if source is not None else {}
-        return tuple({**flows, **told})
+        return tuple({**flows, **counts})
 
     def compute_gain(
         self,
         source: UsageSource,
         organisation: OrganisationName,
-        told: UsageCounts,
-        over_s: float,
+        counts: UsageCounts,
+        span_s: float,
     ) -> UsageGain:
-        """Return what a source says of one organisation that was not known."""
-        # Whoever is told first hears of all organisations, so one that was not among
-        # them is new to both, or was counted before the source was heard.
+        """Return the usage of one organisation that a report adds to what was known."""
+        # A first report includes all organisations, so one that was missing from it is
+        # new to both hosts, or was counted before the source's first report.
         is_new = self.added_at.get(organisation, ZERO) > source.first_reported_at
-        is_known = source.is_complete or is_new
-        first = NO_USAGE if is_known else told.get(organisation, NO_USAGE)
-        before = source.reported_counts.get(organisation, first)
-        usage = told.get(organisation, before).without(before)
+        counts_from_zero = source.is_complete or is_new
+        baseline = NO_USAGE if counts_from_zero else counts.get(organisation, NO_USAGE)
+        previous = source.reported_counts.get(organisation, baseline)
+        usage = counts.get(organisation, previous).without(previous)
         flow = source.flows.get(organisation, NO_USAGE_FLOW)
-        if over_s > 0:
-            source.record_flow(organisation, flow.updated(usage, over_s))
-        return UsageGain(organisation, usage, flow.admitted_per_s * over_s)
+        if span_s > 0:
+            source.record_flow(organisation, flow.updated(usage, span_s))
+        return UsageGain(organisation, usage, flow.admitted_per_s * span_s)
 
     def record_gain(
         self, host: HostId, scope: DigestScope, gain: UsageGain, now: Instant
     ) -> None:
-        """Count what was gained, for those to whom this host tells sums."""
+        """Add a gain to the sums that this host reports to others."""
         if gain.usage == NO_USAGE:
             return
         self.changed_at[gain.organisation] = now
@@ -240,20 +241,21 @@
                 add_usage(self.remote_gains, gain.organisation, gain.usage)
 
     def forget_peer(self, host: HostId, now: Instant) -> None:
-        """Take that a peer uses nothing any more; what it used stays counted."""
+        """Stop expecting usage of a peer; usage that it reported stays counted."""
         source = self.sources.pop(host, None)
         if source is not None and source.scope is DigestScope.DATA_CENTRE:
-            # It was foreseen in what others were told, so it may not vanish there.
+            # The sums sent to other hosts include this expected usage already, and they
+            # must not fall.
             for organisation, usage in source.expected_usage(now).items():
                 add_usage(self.remote_gains, organisation, usage)
 
     def keep_only_peer(self, host: HostId) -> None:
-        """Forget all peers but one, that speaks for all."""
+        """Drop all peers but the one that reports for all others."""
         kept = self.sources.get(host)
         self.sources = {} if kept is None else {host: kept}
 
     def peer_flow(self, organisation: OrganisationName) -> UsageFlow:
-        """Return what all others are asked for and admit a second."""
+        """Return the demand and admitted usage of all other hosts a second."""
         asked = admitted = 0.0
         for source in self.sources.values():
             flow = source.flows.get(organisation)
@@ -263,41 +265,44 @@
         return UsageFlow(asked, admitted)
 
     def max_report_age(self, now: Instant) -> timedelta:
-        """Return how long ago the peer that was silent longest was heard."""
+        """Return the age of the oldest latest report of a peer."""
         oldest = min((s.reported_at for s in self.sources.values()), default=now)
         return max(ZERO, now - oldest)
 
-    # What peers are told. Who is told for the first time is told of all organisations,
-    # also of those that used nothing: their next count says then what they used since.
+    # Counts to report to peers. The first report to a peer names all organisations in
+    # `also`, even those without usage: their next count then tells the usage since.
 
     def own_counts(self, now: Instant, also: OrganisationNames = ()) -> UsageCounts:
-        """Return this host's counts that changed lately, and those named."""
+        """Return this host's counts that changed recently or are in `also`."""
         return self.recent_counts((self.own,), now, also)
 
     def data_centre_counts(
         self, now: Instant, also: OrganisationNames = ()
     ) -> UsageCounts:
-        """Return this data centre's counts that changed lately, and those named."""
+        """Return the data centre's counts that changed recently or are in `also`."""
         return self.recent_counts((self.own, self.local_gains), now, also)
 
     def counts_excluding(
         self, host: HostId, now: Instant, also: OrganisationNames = ()
     ) -> UsageCounts:
-        """Return the counts of all hosts but one that changed lately, and those named.
+        """Return the recent counts, and those of `also`, over all hosts except one.
 
-        With what is foreseen of data centres since they were heard: a host that hears
-        only this sum could not tell one that is cut off from one that uses nothing.
+        Includes the usage expected of data centres since their last reports: a host
+        that hears only this sum could not distinguish a data centre that is cut off
+        from an idle one.
         """
-        far = [
+        remote = [
             source.expected_usage(now)
             for source in self.sources.values()
             if source.scope is DigestScope.DATA_CENTRE
         ]
-        found = self.recent_counts(
-            (self.own, self.local_gains, self.remote_gains, *far), now, also
+        sums = self.recent_counts(
+            (self.own, self.local_gains, self.remote_gains, *remote), now, also
         )
-        its = self.gains_by_host.get(host, {})
-        return {o: usage.without(its.get(o, NO_USAGE)) for o, usage in found.items()}
+        excluded = self.gains_by_host.get(host, {})
+        return {
+            o: usage.without(excluded.get(o, NO_USAGE)) for o, usage in sums.items()
+        }
 
     def recent_counts(
         self,
@@ -305,28 +310,28 @@
         now: Instant,
         also: OrganisationNames,
     ) -> UsageCounts:
-        """Return the sum of counts that changed lately, and of those named."""
+        """Return the sum of counts that changed recently or are in `also`."""
         since = now - REPORT_DURATION
-        found: UsageCounts = dict.fromkeys(also, NO_USAGE)
+        sums: UsageCounts = dict.fromkeys(also, NO_USAGE)
         for part in parts:
             for organisation, usage in part.items():
                 changed_at = self.changed_at.get(organisation, ZERO)
-                if changed_at >= since or organisation in found:
-                    add_usage(found, organisation, usage)
-        return found
+                if changed_at >= since or organisation in sums:
+                    add_usage(sums, organisation, usage)
+        return sums
 
 
-def new_source(told: ReportedUsage, now: Instant) -> UsageSource:
-    """Return a peer that was not heard before.
+def new_source(report: ReportedUsage, now: Instant) -> UsageSource:
+    """Return the source for a peer that was not known before.
 
-    All that it counted is news if it has just started; else only what it counts from
-    now on, since it may have counted for hours. What a cut held up looks like a
-    restart, but comes from a peer that has been up for long.
+    All counts of a peer that has just started are new usage. Of any other peer only
+    later counts are, since it may have counted for hours. A report delayed by a
+    partition looks like a restart, but comes from a peer that has been up for long.
     """
-    if told.uptime < RECENT_START:
-        lately = now - seconds(FLOW_TIME_CONSTANT_S)
-        return UsageSource(told.scope, {}, lately, now, is_complete=True)
-    return UsageSource(told.scope, dict(told.counts), now, now, is_complete=False)
+    if report.uptime < RECENT_START:
+        started_at = now - seconds(FLOW_TIME_CONSTANT_S)
+        return UsageSource(report.scope, {}, started_at, now, is_complete=True)
+    return UsageSource(report.scope, dict(report.counts), now, now, is_complete=False)
 
 
 def add_usage(
--- a/packages/core/tests/test_fleet_share.py
+++ b/packages/core/tests/test_fleet_share.py
@@ -1,27 +1,27 @@
-"""The part of the fleet's work that falls to the hosts in touch."""
+"""Share of the fleet-wide limits that the hosts in contact may use."""
 
 from sardinequay_core.clock import seconds
 from sardinequay_core.fleet_share import ASSUMED_HOSTS, FleetShare
 
 
-def test_all_hosts_together_do_all() -> None:
+def test_all_hosts_together_have_the_whole_share() -> None:
     share = FleetShare()
     share.record_live_hosts(87, seconds(1))
     assert share.reachable_share(87, 1) == 1
 
 
-def test_islands_of_a_fleet_do_no_more_than_all_of_it() -> None:
-    islands = (29, 58)
-    parts = []
-    for live in islands:
+def test_shares_of_partitions_add_up_to_no_more_than_one() -> None:
+    partitions = (29, 58)
+    shares = []
+    for live in partitions:
         share = FleetShare()
         share.record_live_hosts(87, seconds(1))
         share.record_live_hosts(live, seconds(3))
-        parts.append(share.reachable_share(live, 1))
-    assert sum(parts) == 1
+        shares.append(share.reachable_share(live, 1))
+    assert sum(shares) == 1
 
 
-def test_hosts_that_stay_silent_lose_their_part() -> None:
+def test_hosts_that_stay_silent_lose_their_share() -> None:
     share = FleetShare()
     share.record_live_hosts(87, seconds(1))
     share.record_live_hosts(58, seconds(20))
@@ -29,13 +29,13 @@
     assert share.reachable_share(58, 1) == 1
 
 
-def test_host_that_knows_nobody_yet_does_little() -> None:
+def test_host_that_knows_no_peer_has_a_small_share() -> None:
     share = FleetShare()
     share.record_live_hosts(1, seconds(1))
     assert share.reachable_share(1, ASSUMED_HOSTS) == 1 / ASSUMED_HOSTS
 
 
-def test_counting_keeps_few_numbers() -> None:
+def test_few_counts_are_kept() -> None:
     share = FleetShare()
     for n in range(10_000):
         share.record_live_hosts(80 + n % 7, seconds(n / 10))
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Admission, retries, the load queue, demand, and what refusals say."""
+"""Admission, retry budgets, the load queue, demand, rendezvous ranks and refusals."""
 
 from datetime import timedelta
 
@@ -21,7 +21,7 @@
 X, Y, Z = (AdapterRef(name, "1") for name in "xyz")
 
 
-def test_high_priority_reaches_places_that_low_does_not() -> None:
+def test_high_priority_uses_capacity_reserved_from_low_priority() -> None:
     admission = Admission(AdmissionPolicy(max_in_flight=8, reserved_share=0.25))
     assert all(admission.try_enter(0) for _ in range(6))
     assert not admission.try_enter(0)
@@ -41,7 +41,7 @@
     assert [budget.try_spend(1) for _ in range(3)] == [True, True, False]
 
 
-def test_hosts_that_start_again_and_again_get_no_retries_for_it() -> None:
+def test_repeated_restarts_earn_no_retries() -> None:
     starts = 20
     retries = 0
     for _ in range(starts):
@@ -54,7 +54,7 @@
     assert not RetryBudget(RetryPolicy(max_attempts=3)).try_spend(3)
 
 
-def test_most_wanted_adapter_is_loaded_first() -> None:
+def test_most_requested_adapter_is_loaded_first() -> None:
     queue = LoadQueue(LoadPolicy(loads_per_s=1), NOW)
     for ticket, adapter in enumerate((X, Y, Y, Z)):
         queue.add_request(ticket, adapter, NOW + seconds(60), NOW)
@@ -85,14 +85,14 @@
     assert queue.loadable_adapters(NOW) == []
 
 
-def test_cancelled_request_is_not_loaded_for() -> None:
+def test_adapter_of_a_cancelled_request_is_not_loaded() -> None:
     queue = LoadQueue(LoadPolicy(loads_per_s=1), NOW)
     queue.add_request(1, X, NOW + seconds(60), NOW)
     queue.cancel_request(1, X)
     assert queue.loadable_adapters(NOW) == []
 
 
-def test_demand_halves_and_is_forgotten() -> None:
+def test_demand_decays_and_is_pruned() -> None:
     demand = DemandTable(half_life=seconds(10))
     demand.record_requests(X, NOW, 8)
     assert demand.decayed_count(X, NOW + seconds(20)) == pytest.approx(2)
@@ -100,7 +100,7 @@
     assert demand.counts == {}
 
 
-def test_rank_is_alike_everywhere_and_moves_little() -> None:
+def test_rank_ignores_member_order_and_moves_few_keys() -> None:
     members = [f"m{n}" for n in range(10)]
     keys = [f"k{n}" for n in range(1000)]
     before = {k: rank_members(k, members)[0] for k in keys}
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("reason", list(Reason))
-def test_only_reasons_from_before_dispatch_say_not_run(reason: Reason) -> None:
+def test_only_reasons_before_dispatch_permit_a_not_run_refusal(reason: Reason) -> None:
     if reason in SENT_REASONS:
         with pytest.raises(ValueError, match="does not prove"):
             not_run_refusal(reason, "")
--- a/packages/core/tests/test_load_view.py
+++ b/packages/core/tests/test_load_view.py
@@ -1,4 +1,4 @@
-"""Load on engines summed over hosts, and their pace by what all measured."""
+"""Load on engines summed over hosts, and their pace as measured by all hosts."""
 
 from random import Random
 
@@ -13,11 +13,11 @@
 H1, H2 = HostId("h1"), HostId("h2")
 
 
-def test_sum_over_peers_follows_what_each_told_last() -> None:
-    """Replay digests of many hosts, and compare with a sum made anew."""
+def test_sum_over_peers_follows_their_latest_reports() -> None:
+    """Compare the updated sum with one computed from all latest reports."""
     random = Random(3)
     view = LoadView()
-    told: dict[HostId, dict[TargetId, EngineShare]] = {}
+    reports: dict[HostId, dict[TargetId, EngineShare]] = {}
     for step in range(500):
         host = HostId(f"h{random.randrange(40)}")
         shares = {
@@ -27,18 +27,18 @@
         }
         if random.random() < 0.1:
             view.forget_peer(host)
-            told.pop(host, None)
+            reports.pop(host, None)
         else:
             view.apply_peer_shares(host, shares, NOW)
-            told[host] = shares
+            reports[host] = shares
         for target in (E, F):
             total = NO_LOAD
-            for theirs in told.values():
+            for theirs in reports.values():
                 total = total.merged_with(theirs.get(target, NO_LOAD))
             assert view.total_share(target, NOW) == total, step
 
 
-def test_silent_peer_counts_no_more() -> None:
+def test_share_of_a_silent_peer_expires() -> None:
     view = LoadView()
     view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
     view.apply_peer_shares(H2, {E: EngineShare(5, 0)}, NOW + seconds(1))
@@ -47,7 +47,7 @@
     assert view.total_share(E, NOW + seconds(3)) == NO_LOAD
 
 
-def test_host_is_told_the_part_of_all_others() -> None:
+def test_host_gets_the_shares_of_all_others() -> None:
     view = LoadView()
     view.record_dispatch(E, 7)
     view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
@@ -60,20 +60,20 @@
     assert view.combined_shares((H1,), NOW) == {E: EngineShare(17, 1)}
 
 
-def test_sum_from_a_hub_replaces_all_parts() -> None:
+def test_sum_from_a_hub_replaces_all_shares() -> None:
     view = LoadView()
     view.apply_peer_shares(H1, {E: EngineShare(10, 1)}, NOW)
     view.apply_fleet_shares(H2, {E: EngineShare(30, 2)}, NOW)
     assert view.total_share(E, NOW) == EngineShare(30, 2)
 
 
-def fleet_of(hosts: int) -> tuple[LoadView, list[LoadView]]:
+def make_fleet(hosts: int) -> tuple[LoadView, list[LoadView]]:
     views = [LoadView(has_fleet_pace=True) for _ in range(hosts)]
     return LoadView(has_fleet_pace=True), views
 
 
 def exchange(hub: LoadView, hosts: list[LoadView], now) -> None:
-    """Let each host tell its part and hear the sum of the others'."""
+    """Send each host's shares to the hub, and the sum of all others back."""
     for number, host in enumerate(hosts):
         hub.apply_peer_shares(HostId(f"h{number}"), host.own_shares(now), now)
     for number, host in enumerate(hosts):
@@ -83,12 +83,12 @@
 
 
 @pytest.mark.parametrize("slow", [1.0, 5.0])
-def test_engine_that_is_slow_for_a_few_hosts_is_slow_for_all(slow: float) -> None:
-    """Replay an engine that reads five times slower, before forty hosts."""
-    hub, hosts = fleet_of(40)
-    usual_s = hosts[0].nominal_read_s(E, 1800, NOW)
+def test_engine_measured_as_slow_by_a_few_hosts_is_slow_for_all(slow: float) -> None:
+    """Four of forty hosts measure an engine as five times slower."""
+    hub, hosts = make_fleet(40)
+    nominal_s = hosts[0].nominal_read_s(E, 1800, NOW)
     for host in hosts[:4]:
-        host.record_pace(E, usual_s, 0.02 + slow * usual_s, NOW)
+        host.record_pace(E, nominal_s, 0.02 + slow * nominal_s, NOW)
     exchange(hub, hosts, NOW)
     paces = [host.engine_pace(E, NOW) for host in hosts]
     if slow == 1.0:
@@ -97,20 +97,20 @@
         assert min(paces) > 2.5
 
 
-def test_engine_that_is_fast_again_gets_requests_again() -> None:
-    hub, hosts = fleet_of(40)
-    usual_s = hosts[0].nominal_read_s(E, 1800, NOW)
+def test_pace_recovers_after_a_few_fast_measurements() -> None:
+    hub, hosts = make_fleet(40)
+    nominal_s = hosts[0].nominal_read_s(E, 1800, NOW)
     for host in hosts[:6]:
-        host.record_pace(E, usual_s, 0.02 + 5 * usual_s, NOW)
+        host.record_pace(E, nominal_s, 0.02 + 5 * nominal_s, NOW)
     later = NOW + seconds(6)
     for host in hosts[6:8]:
-        host.record_pace(E, usual_s, 0.02 + usual_s, later)
+        host.record_pace(E, nominal_s, 0.02 + nominal_s, later)
     exchange(hub, hosts, later)
     assert max(host.engine_pace(E, later) for host in hosts) < 1.8
 
 
-def test_one_odd_measurement_changes_little() -> None:
-    hub, hosts = fleet_of(3)
+def test_single_outlier_changes_the_pace_little() -> None:
+    hub, hosts = make_fleet(3)
     hosts[0].record_pace(E, 0.01, 0.05, NOW)
     exchange(hub, hosts, NOW)
     assert hosts[1].engine_pace(E, NOW) < 1.3
--- a/packages/core/tests/test_relay_decisions.py
+++ b/packages/core/tests/test_relay_decisions.py
@@ -1,4 +1,4 @@
-"""What a failed attempt permits, the budget of repeats, loads and services."""
+"""Retries after failed attempts, the retry budget, load, services and residency."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -28,7 +28,7 @@
 from sardinequay_core.service_choice import ServiceOption, select_target
 from sardinequay_core.serving import Repetition
 
-LEFT = timedelta(seconds=1)
+REMAINING = timedelta(seconds=1)
 E = TargetId("e")
 
 
@@ -62,22 +62,22 @@
         (Repetition.ONCE, [AttemptEnd.REJECTED] * 4, RetryDecision.GIVE_UP_NOT_RUN),
     ],
 )
-def test_what_a_failed_attempt_permits(repetition, ends, expected) -> None:
-    so_far = AttemptCounts()
+def test_retry_decision_after_failed_attempts(repetition, ends, expected) -> None:
+    counts = AttemptCounts()
     for end in ends:
-        so_far = so_far.with_attempt(end)
-    assert decide_retry(repetition, 2, so_far, LEFT, True) is expected
+        counts = counts.with_attempt(end)
+    assert decide_retry(repetition, 2, counts, REMAINING, True) is expected
 
 
-def test_no_time_or_no_budget_ends_a_request() -> None:
-    so_far = AttemptCounts().with_attempt(AttemptEnd.REJECTED)
-    for left, budget in ((ZERO, True), (LEFT, False)):
-        end = decide_retry(Repetition.IDEMPOTENT, 2, so_far, left, budget)
+def test_request_is_given_up_without_time_or_budget() -> None:
+    counts = AttemptCounts().with_attempt(AttemptEnd.REJECTED)
+    for remaining, budget in ((ZERO, True), (REMAINING, False)):
+        end = decide_retry(Repetition.IDEMPOTENT, 2, counts, remaining, budget)
         assert end is RetryDecision.GIVE_UP_NOT_RUN
 
 
-def test_hosts_together_keep_the_budget_when_everything_fails() -> None:
-    """Replay an outage: every request is rejected and would be sent four times."""
+def test_hosts_together_keep_the_budget_when_all_requests_fail() -> None:
+    """In an outage every request is rejected, and would be sent four times."""
     policy = RepeatPolicy(ratio=0.2, slack=56)
     budgets = [RepeatBudget(policy, ZERO) for _ in range(8)]
     repeats = 0
@@ -93,7 +93,7 @@
     assert 100 < repeats <= 0.2 * 800 + 56
 
 
-def test_load_counts_own_and_peers_requests_and_forgets_silent_peers() -> None:
+def test_load_includes_own_and_peers_requests_and_drops_silent_peers() -> None:
     view = LoadView()
     view.record_dispatch(E, 2000)
     view.apply_peer_shares(HostId("p"), {E: EngineShare(3000, 2)}, seconds(10))
@@ -104,7 +104,7 @@
     assert view.total_share(E, seconds(12)) == EngineShare()
 
 
-def test_slow_engine_is_learned() -> None:
+def test_measurements_raise_the_expected_time_of_a_slow_engine() -> None:
     view = LoadView()
     before = view.expected_first_event_s(E, 2000, ZERO)
     for _ in range(20):
@@ -122,7 +122,7 @@
     return ServiceOption(TargetId(name), in_flight, 6, **fields | more)
 
 
-def test_least_filled_service_is_taken() -> None:
+def test_least_utilised_service_target_is_chosen() -> None:
     assert select_target([service("a", 3), service("b", 1)]) == "b"
     assert select_target([service("a", 1), service("b", 0, is_local=False)]) == "b"
     assert select_target([service("a"), service("b", 0, is_local=False)]) == "a"
@@ -138,7 +138,7 @@
     return PublishedTarget(target, 64, 3, adapters=frozenset({AdapterRef("m/a", "1")}))
 
 
-def test_later_news_of_an_engine_replace_earlier(published) -> None:
+def test_later_update_of_an_engine_replaces_an_earlier_one(published) -> None:
     a, b = AdapterRef("m/a", "1"), AdapterRef("m/b", "1")
     residency = Residency()
     assert residency.resident_adapter(published, a) == a
@@ -149,7 +149,7 @@
     assert residency.resident_adapter(published, a) == a
 
 
-def test_denied_adapter_is_not_resident_until_later_news(published) -> None:
+def test_missing_adapter_is_not_resident_until_a_later_update(published) -> None:
     a = AdapterRef("m/a", "1")
     residency = Residency()
     residency.apply_update(E, HeldAdapters(10, 2, frozenset({a})))
@@ -159,7 +159,7 @@
     assert residency.resident_adapter(published, a) == a
 
 
-def test_older_version_does_not_serve_a_newer_wish(published) -> None:
+def test_older_adapter_version_does_not_serve_a_newer_request(published) -> None:
     residency = Residency()
     assert residency.resident_adapter(published, AdapterRef("m/a", "2")) is None
     residency.record_loaded(published, AdapterRef("m/a", "10"))
@@ -177,24 +177,24 @@
     assert uses.counts_on(E) == {}
 
 
-def test_what_an_engine_held_before_it_started_again_is_void(published) -> None:
+def test_restart_of_an_engine_voids_its_holdings(published) -> None:
     residency = Residency()
     a = AdapterRef("m/a", "1")
     assert residency.apply_update(
         E, HeldAdapters(10, 9, frozenset({a}), incarnation=1_000)
     )
-    anew = replace(published, incarnation=2_000, adapters=frozenset())
-    assert residency.resident_adapter(anew, a) is None
+    restarted = replace(published, incarnation=2_000, adapters=frozenset())
+    assert residency.resident_adapter(restarted, a) is None
     assert residency.apply_update(
         E, HeldAdapters(10, 0, frozenset({a}), incarnation=2_000)
     )
-    assert residency.resident_adapter(anew, a) == a
+    assert residency.resident_adapter(restarted, a) == a
     assert not residency.apply_update(
         E, HeldAdapters(11, 99, frozenset(), incarnation=1_000)
     )
 
 
-def test_uses_of_an_engine_that_started_again_are_void() -> None:
+def test_restart_of_an_engine_voids_its_uses() -> None:
     uses = AdapterUses()
     a = AdapterRef("m/a", "1")
     uses.adjust_own_count(E, a, 1)
--- a/packages/core/tests/test_repeat_budget.py
+++ b/packages/core/tests/test_repeat_budget.py
@@ -1,4 +1,4 @@
-"""One host's share of the repeats that the fleet may send; fleets are in the replay."""
+"""One host's share of the retry budget; the replay tests cover whole fleets."""
 
 from sardinequay_core.clock import seconds
 from sardinequay_core.repeat_budget import RepeatBudget, RepeatPolicy
@@ -6,8 +6,8 @@
 POLICY = RepeatPolicy(ratio=0.2, slack=56)
 
 
-def test_repeats_that_are_held_up_and_arrive_together_keep_the_bound() -> None:
-    """Repeats of two windows come at once, when a link heals."""
+def test_delayed_repeats_that_arrive_together_keep_the_bound() -> None:
+    """Repeats of several windows arrive at once when a network link recovers."""
     budget = RepeatBudget(RepeatPolicy(ratio=0, slack=8), seconds(0))
     healed = seconds(60)
     sent = 0
@@ -21,7 +21,7 @@
     assert not budget.current_usage(1, healed + seconds(9)).has_room
 
 
-def test_host_that_has_just_started_again_has_no_slack() -> None:
+def test_host_that_has_just_restarted_has_no_slack() -> None:
     budget = RepeatBudget(POLICY, slack_from=seconds(110))
     assert not budget.current_usage(1, seconds(109)).has_room
     for _ in range(5):
--- a/packages/core/tests/test_run_permits.py
+++ b/packages/core/tests/test_run_permits.py
@@ -1,4 +1,4 @@
-"""One run at a time of a content under suspicion."""
+"""Permits that let one request at a time run of a content under suspicion."""
 
 import pytest
 
@@ -21,12 +21,12 @@
     assert permits.grant(ContentId("other"), "h2/0", NOW)
 
 
-def test_one_host_has_no_two_runs_either(permits) -> None:
+def test_one_host_gets_no_second_permit(permits) -> None:
     assert permits.grant(CONTENT, "h1/0", NOW)
     assert not permits.grant(CONTENT, "h1/1", NOW)
 
 
-def test_the_next_may_run_once_it_is_given_back(permits) -> None:
+def test_another_attempt_may_run_after_a_release(permits) -> None:
     permits.grant(CONTENT, "h1/0", NOW)
     permits.release(CONTENT, "h2/0")
     assert not permits.grant(CONTENT, "h2/0", NOW)
@@ -34,7 +34,7 @@
     assert permits.grant(CONTENT, "h2/0", NOW)
 
 
-def test_a_host_that_is_lost_keeps_no_permit_for_long(permits) -> None:
+def test_permit_of_a_lost_host_expires(permits) -> None:
     permits.grant(CONTENT, "h1/0", NOW)
     assert permits.grant(CONTENT, "h2/0", NOW + PERMIT_DURATION)
     permits.expire_permits(NOW + 2 * PERMIT_DURATION)
--- a/packages/core/tests/test_serving.py
+++ b/packages/core/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix wins, and split traffic keeps its shares."""
+"""Routing by longest prefix and split traffic, repetition, and engine capacities."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -42,7 +42,7 @@
     assert config.match_route("c.example", "/x/") is None
 
 
-def test_split_traffic_keeps_its_shares_and_each_request_its_way(route: Route) -> None:
+def test_split_traffic_follows_weights_and_is_stable_per_request(route: Route) -> None:
     shares = (PoolShare(PoolName("p"), 90), PoolShare(PoolName("q"), 10))
     split = replace(route, shares=shares)
     ids = [f"request-{n}" for n in range(4000)]
@@ -60,7 +60,7 @@
         (Repetition.RESUMABLE_STREAM, True, True),
     ],
 )
-def test_what_may_be_repeated(kind: Repetition, again: bool, stream: bool) -> None:
+def test_repetition_properties(kind: Repetition, again: bool, stream: bool) -> None:
     assert kind.may_run_again is again
     assert kind.is_stream is stream
 
@@ -75,7 +75,7 @@
         (200.0, set(), 6),
     ],
 )
-def test_memory_bounds_the_places_for_adapters(weight_mb, held, places) -> None:
+def test_memory_limits_the_adapter_capacity(weight_mb, held, places) -> None:
     models = (ServedModel("m", 100, 9, 10), ServedModel("n", 40, 9, 10))
     pool = EnginePool(8, 1000, weight_mb, 6, 2, models)
     assert pool.adapter_capacity(held) == places
--- a/packages/core/tests/test_shared_outcomes.py
+++ b/packages/core/tests/test_shared_outcomes.py
@@ -1,4 +1,4 @@
-"""Targets judged by what all hosts saw, replayed for many hosts with few requests."""
+"""Targets judged by the outcomes of many hosts with few requests each."""
 
 import pytest
 
@@ -17,16 +17,16 @@
 
 
 def gossip(fleet: list[TargetHealth], now=NOW) -> None:
-    """Let each host tell each other what it saw, once."""
-    told = [host.tally.outcomes_to_report(now) for host in fleet]
+    """Send each host's outcomes to every other host once."""
+    reports = [host.tally.outcomes_to_report(now) for host in fleet]
     for me, host in enumerate(fleet):
-        for other, outcomes in enumerate(told):
+        for other, outcomes in enumerate(reports):
             if other != me:
                 host.tally.apply_peer_outcomes(HostId(f"h{other}"), outcomes, now)
 
 
-def test_target_that_fails_a_few_hosts_is_left_out_by_all() -> None:
-    """Replay a grey target before sixty hosts: five fail, the others hear of it."""
+def test_target_that_fails_at_a_few_hosts_is_excluded_by_all() -> None:
+    """A target fails requests of five of sixty hosts, and the others get reports."""
     fleet = hosts(60)
     for host in fleet[:5]:
         host.record_result(T, AttemptResult.FAILED, NOW, NOW)
@@ -36,7 +36,7 @@
     assert len(using) <= 2
 
 
-def test_good_answers_elsewhere_count_once_failures_are_heard_of() -> None:
+def test_successes_at_other_hosts_count_once_failures_are_reported() -> None:
     fleet = hosts(20)
     for host in fleet:
         host.record_result(T, AttemptResult.SUCCEEDED, NOW, NOW)
@@ -47,7 +47,7 @@
     assert all(h.is_usable(T, NOW) for h in fleet[3:])
 
 
-def test_one_host_condemns_no_target_for_others() -> None:
+def test_failures_at_one_host_exclude_no_target_at_others() -> None:
     fleet = hosts(5)
     for _ in range(8):
         fleet[0].record_result(T, AttemptResult.FAILED, NOW, NOW)
@@ -55,18 +55,18 @@
     assert all(h.is_usable(T, NOW) for h in fleet[1:])
 
 
-def test_paths_that_are_broken_are_not_told() -> None:
+def test_unreachable_targets_are_not_reported() -> None:
     health = TargetHealth()
     health.record_result(T, AttemptResult.UNREACHABLE, NOW, NOW)
     assert not health.tally.outcomes_to_report(NOW)
 
 
-def test_hosts_try_a_target_in_turn() -> None:
+def test_hosts_try_an_excluded_target_in_turn() -> None:
     fleet = hosts(10)
     for host in fleet[:4]:
         host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
-    tries = []
+    trials = []
     for tenth in range(100):
         now = NOW + seconds(tenth / 10)
         for host in fleet[4:]:
@@ -74,11 +74,11 @@
             host.tally.apply_peer_outcomes(HostId("hy"), {T: Outcomes(0, 4)}, now)
             if host.is_usable(T, now):
                 host.record_sent(T)
-                tries.append(now)
-    assert 4 <= len(tries) <= 8
+                trials.append(now)
+    assert 4 <= len(trials) <= 8
 
 
-def test_failures_are_forgotten_by_and_by() -> None:
+def test_failures_decay() -> None:
     fleet = hosts(4)
     for host in fleet:
         host.record_result(T, AttemptResult.FAILED, NOW, NOW)
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("gone", ["host", "target"])
-def test_what_is_gone_is_forgotten(gone: str) -> None:
+def test_outcomes_of_a_host_or_target_that_is_gone_are_dropped(gone: str) -> None:
     tally = OutcomeTally()
     tally.apply_peer_outcomes(HostId("h1"), {T: Outcomes(0, 9)}, NOW)
     tally.apply_peer_outcomes(HostId("h2"), {T: Outcomes(0, 9)}, NOW)
@@ -100,7 +100,7 @@
     assert not tally.is_excluded(T, NOW)
 
 
-def test_peer_that_fell_silent_counts_no_more() -> None:
+def test_report_of_a_silent_peer_expires() -> None:
     tally = OutcomeTally()
     for host in ("h1", "h2"):
         tally.apply_peer_outcomes(HostId(host), {T: Outcomes(0, 90)}, NOW)
--- a/packages/core/tests/test_target_choice.py
+++ b/packages/core/tests/test_target_choice.py
@@ -1,4 +1,4 @@
-"""Which engine a request goes to, replayed for the loads that decide it."""
+"""Choice of an engine for a request, under the loads that decide it."""
 
 from dataclasses import replace
 
@@ -16,51 +16,51 @@
 )
 
 
-def option(name: str, holding=AdapterState.ABSENT, first_s: float = 0.1, **more):
-    return EngineOption(TargetId(name), holding, first_s, is_local=True, **more)
+def option(name: str, state=AdapterState.ABSENT, first_s: float = 0.1, **more):
+    return EngineOption(TargetId(name), state, first_s, is_local=True, **more)
 
 
-def test_engine_that_has_the_adapter_is_taken() -> None:
+def test_engine_with_the_adapter_is_chosen() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT)]
     assert select_engine(options, 2.0) == SendToEngine(TargetId("b"), 0.1)
 
 
-def test_short_queue_is_no_reason_for_a_further_copy() -> None:
+def test_short_queue_does_not_justify_an_extra_copy() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 0.6)]
     assert isinstance(select_engine(options, 2.0), SendToEngine)
 
 
-def test_long_queue_is_none_either() -> None:
-    """Replay a hot adapter: each copy of it took the place of one that is asked for."""
+def test_long_queue_does_not_justify_an_extra_copy() -> None:
+    """Each extra copy of a hot adapter evicted another adapter that was in demand."""
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 1.4)]
     assert isinstance(select_engine(options, 3.0), SendToEngine)
 
 
-def test_very_long_queue_is() -> None:
+def test_very_long_queue_justifies_an_extra_copy() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 2.6)]
     assert select_engine(options, 4.0) == LoadOnEngine(
         TargetId("a"), pytest.approx(0.4)
     )
 
 
-def test_what_a_copy_counts_for_refuses_nobody() -> None:
+def test_cost_of_a_copy_does_not_refuse_a_request() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RESIDENT, 1.9)]
     assert select_engine(options, 1.0) == LoadOnEngine(
         TargetId("a"), pytest.approx(0.4)
     )
 
 
-def test_engine_that_begins_in_time_goes_before_one_that_had_the_adapter() -> None:
+def test_engine_in_time_is_preferred_to_one_that_had_the_adapter() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RECENT, 1.2)]
     assert select_engine(options, 1.0).target == "a"
 
 
-def test_engine_that_had_the_adapter_lately_loads_it_again() -> None:
+def test_engine_that_recently_had_the_adapter_loads_it_again() -> None:
     options = [option("a", free_places=3), option("b", AdapterState.RECENT)]
     assert select_engine(options, 2.0).target == "b"
 
 
-def test_absent_adapter_goes_to_its_home_when_all_is_equal() -> None:
+def test_absent_adapter_is_loaded_on_its_home_engine_when_costs_are_equal() -> None:
     options = [option("a", home_rank=1), option("b", home_rank=0)]
     assert select_engine(options, 2.0).target == "b"
 
@@ -71,7 +71,7 @@
     assert select_engine([full, other], 3.0).target == "b"
 
 
-def test_refused_at_once_when_nothing_can_begin_in_time() -> None:
+def test_request_is_refused_at_once_when_no_engine_is_in_time() -> None:
     options = [option("a", AdapterState.RESIDENT, 2.0), option("b", first_s=2.2)]
     refused = select_engine(options, 1.0)
     assert isinstance(refused, EnginesTooBusy)
@@ -80,7 +80,7 @@
     assert nearly.wait_s == pytest.approx(0.6)
 
 
-def test_what_the_keeper_said_goes_before_estimates() -> None:
+def test_keeper_estimate_overrides_own_estimate() -> None:
     options = [
         option("a", keeper_estimate_s=5.0, free_places=2),
         option("b", first_s=0.4),
@@ -88,7 +88,7 @@
     assert select_engine(options, 2.0).target == "b"
 
 
-def test_nobody_to_order_loads() -> None:
+def test_no_engine_is_chosen_without_a_keeper_to_order_loads() -> None:
     options = [option("a", may_load=False), option("b", may_load=False)]
     assert select_engine(options, 2.0) == NoEngine()
     held = replace(options[0], adapter_state=AdapterState.RESIDENT)
--- a/packages/core/tests/test_target_health.py
+++ b/packages/core/tests/test_target_health.py
@@ -1,4 +1,4 @@
-"""Leaving targets out by what became of requests, and trying them again."""
+"""Exclusion of targets by the results of requests, and trials of excluded targets."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return TargetHealth()
 
 
-def test_unreachable_target_is_left_out_then_tried_with_one_request(health) -> None:
+def test_unreachable_target_is_excluded_then_tried_with_one_request(health) -> None:
     assert health.record_result(A, AttemptResult.UNREACHABLE, NOW, NOW)
     assert not health.is_usable(A, NOW + seconds(0.4))
     later = NOW + seconds(0.6)
@@ -35,7 +35,7 @@
     assert health.is_usable(A, NOW + seconds(1.7))
 
 
-def test_part_of_the_requests_failing_leaves_a_target_out(health) -> None:
+def test_target_that_fails_part_of_its_requests_is_excluded(health) -> None:
     ends = [
         AttemptResult.SUCCEEDED,
         AttemptResult.FAILED,
@@ -45,7 +45,7 @@
     assert any(health.record_result(A, end, NOW, NOW) for end in ends)
 
 
-def test_one_failure_among_many_does_not(health) -> None:
+def test_one_failure_among_many_does_not_exclude_a_target(health) -> None:
     ends = (
         [AttemptResult.SUCCEEDED] * 6
         + [AttemptResult.FAILED]
@@ -54,20 +54,22 @@
     assert not any(health.record_result(A, end, NOW, NOW) for end in ends)
 
 
-def test_full_target_is_not_left_out(health) -> None:
+def test_full_target_is_not_excluded(health) -> None:
     assert not health.record_result(A, AttemptResult.REJECTED, NOW, NOW)
     assert health.is_full(A, NOW + seconds(0.05))
     assert not health.is_full(A, NOW + seconds(0.2))
 
 
-def test_pool_of_which_hardly_any_is_left_is_used_whole(health) -> None:
+def test_all_targets_are_used_when_too_few_are_usable(health) -> None:
     for target in (A, B, C):
         health.record_result(target, AttemptResult.UNREACHABLE, NOW, NOW)
     assert health.usable_targets((A, B, C), NOW) == {A, B, C}
     assert TargetHealth().usable_targets((A, B), NOW) == {A, B}
 
 
-def test_silence_counts_unless_the_target_answered_others_meanwhile(health) -> None:
+def test_timeout_counts_unless_the_target_answered_other_requests_meanwhile(
+    health,
+) -> None:
     for _ in range(5):
         health.record_result(A, AttemptResult.SUCCEEDED, NOW, NOW + seconds(0.2))
         assert not health.record_result(
@@ -81,8 +83,8 @@
     assert any(ends)
 
 
-def test_cut_off_host_serves_with_the_one_target_that_it_reaches() -> None:
-    """Replay a data centre that is cut off: four of five targets are elsewhere."""
+def test_cut_off_host_uses_the_one_target_that_it_reaches() -> None:
+    """While a data centre is cut off, four of five targets are unreachable."""
     health = TargetHealth()
     targets = tuple(TargetId(t) for t in "abcde")
     for target in targets[1:]:
@@ -91,7 +93,7 @@
     assert health.usable_targets(targets[1:], NOW) == set(targets[1:])
 
 
-def test_failures_of_all_that_are_reachable_leave_none_of_them_out() -> None:
+def test_failures_of_all_reachable_targets_exclude_none_of_them() -> None:
     health = TargetHealth()
     targets = tuple(TargetId(t) for t in "abcd")
     health.record_result(targets[3], AttemptResult.UNREACHABLE, NOW, NOW)
