--- a/packages/daemon/src/sardinequay_daemon/answers.py
+++ b/packages/daemon/src/sardinequay_daemon/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: whole answers put together, and failures as typed JSON."""
+"""Answers to callers: answers assembled from streams, and refusals as typed JSON."""
 
 import math
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 def refusal_body(refusal: Refusal, request_id: str) -> dict[str, Any]:
-    """Return a failure as JSON tells it."""
+    """Return the JSON body of a refusal."""
     error: dict[str, Any] = {
         "reason": refusal.reason.value,
         "outcome": refusal.outcome.value,
@@ -31,7 +31,7 @@
 
 
 def refusal_headers(refusal: Refusal, request_id: str) -> dict[str, str]:
-    """Return a failure as headers tell it."""
+    """Return the headers of a refusal."""
     headers = {
         REQUEST_HEADER: request_id,
         OUTCOME_HEADER: refusal.outcome.value,
@@ -44,7 +44,7 @@
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> web.Response:
-    """Return a failure as an HTTP response."""
+    """Return a refusal as an HTTP response."""
     return web.json_response(
         refusal_body(refusal, request_id),
         status=refusal.status,
@@ -53,13 +53,13 @@
 
 
 def refusal_event(refusal: Refusal, request_id: str) -> bytes:
-    """Return a failure as the last event of a stream that had begun."""
+    """Return a refusal as the last event of a stream that had begun."""
     body = msgspec.json.encode(refusal_body(refusal, request_id))
     return b"event: error\ndata: " + body + EVENT_END
 
 
 class CompletionAssembler:
-    """Puts the chunks of a stream together into the answer of one piece."""
+    """Assembles the chunks of a stream into one completion or chat answer."""
 
     def __init__(self) -> None:
         self.template: dict[str, Any] = {}
@@ -67,14 +67,14 @@
         self.choices: dict[int, dict[str, Any]] = {}
 
     def add_events(self, data: bytes) -> None:
-        """Take whole events."""
+        """Add the chunks of whole events."""
         for event in data.split(EVENT_END):
             payload = event_data(event)
             if payload and DONE not in event:
                 self.add_chunk(msgspec.json.decode(payload))
 
     def add_chunk(self, chunk: dict[str, Any]) -> None:
-        """Take one chunk of a completion or of a chat."""
+        """Add one chunk of a completion or of a chat."""
         self.template.update({k: v for k, v in chunk.items() if k != "choices"})
         for choice in chunk.get("choices", ()):
             index = choice.get("index", 0)
--- a/packages/daemon/src/sardinequay_daemon/caller_admission.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_admission.py
@@ -1,7 +1,7 @@
-"""Who may send a request, and whether it is within its organisation's quota.
+"""Authentication of requests, and their admission by their organisations' quotas.
 
-Decided from a request's head alone, so that what is refused costs no body, no adapter
-and no place that others wait for.
+Both are decided from a request's head alone, so that a refused request costs no reading
+of its body, no adapter load and no place in a queue.
 """
 
 from collections.abc import Callable
@@ -19,25 +19,27 @@
 from .serving_ports import RequestTerms
 
 STALE_STORE_AGE_S = 3.0
-"""A host that has heard nothing of the store for so long, by itself or from peers, may
-miss a key that was added: longer than a watch lasts, shorter than a change may take."""
+"""Age, in seconds, of a host's knowledge of the store, read by itself or received from
+peers, beyond which it may lack a key that was added: longer than a watch lasts, shorter
+than a change may take."""
 
 STALE_RETRY = seconds(0.2)
-"""Another host that a caller comes to may know more."""
+"""Retry-after time if this host may lack the key: another host may have it."""
 
 RETRY_JITTER = 0.5
-"""Callers that are over a quota come back spread over this part of their wait."""
+"""Upper bound of the random addition to the retry-after time of callers over a quota,
+as a share of that time."""
 
 MIN_RETRY_AFTER = seconds(0.1)
 
 
 class CallerAdmission:
-    """Knows the organisations in force and their quotas.
+    """Authenticates requests and counts them against their organisations' quotas.
 
     Parameters
     ----------
     store_age_s : callable
-        How long ago this host last heard of the store, in seconds.
+        Returns the age of this host's knowledge of the store, in seconds.
     """
 
     def __init__(
@@ -53,14 +55,14 @@
     def authenticate(
         self, config: ServingConfig, route: Route, terms: RequestTerms
     ) -> Organisation | None:
-        """Return who asks; None where nobody needs to say.
+        """Return the organisation that sent a request; None if no key is needed.
 
-        On a public route a key that is not known counts as none.
+        On a public route an unknown key counts as no key.
 
         Raises
         ------
         RequestRefusedError
-            If the route needs a key and the request has none in force.
+            If the route needs a key and the request has no valid one.
         """
         if config.organisations is None:
             return None
@@ -72,7 +74,7 @@
     def unknown_key_refusal(
         self, config: ServingConfig, terms: RequestTerms
     ) -> Refusal:
-        """Return the refusal of a request without a key in force."""
+        """Return the refusal of a request without a valid key."""
         age_s = self.store_age_s()
         if terms.key is not None and age_s > STALE_STORE_AGE_S:
             text = (
@@ -89,7 +91,7 @@
         Raises
         ------
         RequestRefusedError
-            If it is beyond the quota.
+            If the request exceeds the quota.
         """
         now = self.state.clock.monotonic()
         self.state.count_hosts()
@@ -116,11 +118,11 @@
         )
 
     def jittered_wait(self, wait: timedelta) -> timedelta:
-        """Return when to come back, so that callers do not come together."""
+        """Return a retry-after time with random jitter, so that callers spread out."""
         return max(
             MIN_RETRY_AFTER, wait * (1 + RETRY_JITTER * self.state.random.random())
         )
 
     def refund(self, admitted: Admitted) -> None:
-        """Take back what was counted for a request that did not run."""
+        """Refund the quota that was counted for a request that did not run."""
         self.state.quotas.ledger.refund(admitted, self.state.clock.monotonic())
--- a/packages/daemon/src/sardinequay_daemon/caller_answer.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_answer.py
@@ -1,4 +1,4 @@
-"""The answer to one caller: a target's, a refusal, or an end that shows as one."""
+"""The answer to one caller: a target's answer, a refusal or an aborted connection."""
 
 import logging
 from http import HTTPStatus
@@ -18,7 +18,7 @@
 
 
 class AnswerContext(Protocol):
-    """What an answer needs of its listener."""
+    """The attributes of the server that an answer uses."""
 
     clock: Clock
     dialect: HttpDialect
@@ -28,7 +28,7 @@
 
 
 class CallerAnswer:
-    """The answer to one request, as far as it has got."""
+    """The state of the answer to one request."""
 
     def __init__(
         self, server: AnswerContext, http: web.BaseRequest, arrived: Instant
@@ -43,11 +43,11 @@
         self.first_byte_s = 0.0
 
     def sink(self) -> AnswerSink:
-        """Return where the relay puts an answer."""
+        """Return the sink to which the relay writes a target's answer."""
         return AnswerSink(self.send_head, self.write)
 
     def elapsed_s(self) -> float:
-        """Return the time since the request came, in seconds."""
+        """Return the time since the request arrived, in seconds."""
         return (self.server.clock.monotonic() - self.arrived).total_seconds()
 
     async def send_head(self, head: AnswerHead) -> None:
@@ -64,13 +64,13 @@
         await response.prepare(self.http)
 
     async def write(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Send a part of the answer's body."""
         assert self.response is not None
         if data:
             await self.response.write(data)
 
     async def finish(self, request_id: str) -> web.StreamResponse:
-        """Complete the answer."""
+        """Complete the answer and record its end."""
         assert self.response is not None
         await self.response.write_eof()
         self.record_end(request_id, "answered", str(self.response.status), "")
@@ -98,7 +98,7 @@
         )
 
     async def refuse(self, request_id: str, refusal: Refusal) -> web.StreamResponse:
-        """Give the final answer to a request that no target answered."""
+        """Send a refusal, or abort the answer if it has begun."""
         if self.response is not None:
             return self.abort_answer(request_id, refusal.message)
         status = refusal_status(refusal)
@@ -114,7 +114,7 @@
         return response
 
     def abort_answer(self, request_id: str, detail: str) -> web.StreamResponse:
-        """End an answer that had begun so that nobody takes it for a whole one."""
+        """Abort the connection, so that the caller sees an incomplete answer."""
         self.record_end(request_id, "cut off", "cut_off", detail)
         if self.http.transport is not None:
             self.http.transport.abort()
@@ -122,10 +122,10 @@
 
 
 def refusal_status(refusal: Refusal) -> int:
-    """Return the status that says no more than what is known.
+    """Return the HTTP status of a refusal.
 
-    A request that has not run is told so by 503; of one that may have run nothing is
-    promised.
+    A 502 leaves open whether the request has run. The other statuses, such as 503,
+    state that it has not.
     """
     if refusal.outcome is Outcome.NOT_RUN:
         if refusal.reason in (Reason.OVERLOADED, Reason.DEADLINE_EXPIRED):
--- a/packages/daemon/src/sardinequay_daemon/caller_connection.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection, and how long its caller may take."""
+"""A caller's connection with time limits on idle time and on request heads."""
 
 import asyncio
 from typing import Any
@@ -9,12 +9,12 @@
 from sardinequay_core.serving import CallerLimits
 
 IDLE_BEFORE_CLOSE = seconds(0.2)
-"""A stopping host closes connections that have been idle for this, so that requests of
-new connections are still read: several round trips to any caller."""
+"""A stopping host closes connections that have been idle for this time: several round
+trips to any caller, so that requests on new connections are still read."""
 
 
 class CallerConnection(web.RequestHandler):
-    """A caller's connection that knows how long it has kept us waiting."""
+    """Protocol of a caller's connection that tracks how long the caller takes."""
 
     def __init__(self, server: web.Server, clock: Clock, **options: Any) -> None:
         super().__init__(server, loop=asyncio.get_running_loop(), **options)
@@ -23,22 +23,22 @@
         self.head_began_at: Instant | None = None
 
     def data_received(self, data: bytes) -> None:
-        """Note when the head of a request began to come."""
+        """Record when the head of a request begins to arrive."""
         if self.idle_since is not None and self.head_began_at is None:
             self.head_began_at = self.clock.monotonic()
         super().data_received(data)
 
     def begin_request(self) -> None:
-        """Note that a request's head is complete."""
+        """Record that a request's head is complete."""
         self.idle_since = None
         self.head_began_at = None
 
     def end_request(self) -> None:
-        """Note that the answer is complete."""
+        """Record that the answer is complete."""
         self.idle_since = self.clock.monotonic()
 
     def is_idle(self, now: Instant) -> bool:
-        """Return whether no request has been here, or on its way, for a while."""
+        """Return whether no request was handled or received for `IDLE_BEFORE_CLOSE`."""
         since = self.idle_since
         return (
             since is not None
@@ -47,7 +47,7 @@
         )
 
     def is_overdue(self, limits: CallerLimits, now: Instant) -> bool:
-        """Return whether the caller takes longer than it may."""
+        """Return whether the caller exceeds the header timeout or the idle timeout."""
         if self.head_began_at is not None:
             return now - self.head_began_at > limits.header_timeout
         if self.idle_since is not None:
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests: everything is checked before anything is dispatched."""
+"""Parsing and validation of callers' requests before anything is dispatched."""
 
 import re
 from collections.abc import Mapping
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnvelope:
-    """What every request carries beside its body.
+    """The checked terms of a request that all kinds of requests have in common.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
 def make_guarded_run(
     envelope: RequestEnvelope, method: str, path: str, body: bytes
 ) -> GuardedRun:
-    """Return a request as far as it concerns whether its content may run."""
+    """Return the record of a request for the content guard."""
     content = content_id(method, "", path, envelope.caller.name, body)
     return GuardedRun(envelope.request_id, content)
 
@@ -84,7 +84,7 @@
     limits: LimitSettings,
     now: Instant,
 ) -> Result[RequestEnvelope, Refusal]:
-    """Check who calls and under which terms."""
+    """Authenticate the caller and check the headers common to all requests."""
     if bundle is None:
         text = "no bundle is in force yet"
         return Failure(not_run_refusal(Reason.NO_BUNDLE, text, timedelta(seconds=1)))
@@ -110,7 +110,7 @@
 
 
 def bad_header_refusal(name: str, value: str, allowed: str) -> Refusal:
-    """Return the refusal of a header's value."""
+    """Return the refusal of an invalid header value."""
     text = f"{name} is {value[:80]!r}; allowed: {allowed}"
     return not_run_refusal(Reason.BAD_HEADER, text)
 
@@ -118,7 +118,7 @@
 def read_deadline(
     headers: Mapping[str, str], limits: LimitSettings
 ) -> Result[timedelta, Refusal]:
-    """Return how long the caller waits, in seconds from now in its header."""
+    """Return how long the caller waits, given by its header in seconds from now."""
     raw_value = headers.get(DEADLINE_HEADER)
     if raw_value is None:
         return Success(timedelta(seconds=limits.default_deadline_s))
@@ -137,7 +137,7 @@
 
 
 def read_priority(headers: Mapping[str, str], caller: Caller) -> Result[int, Refusal]:
-    """Return the priority asked for, at most the caller's own."""
+    """Return the requested priority, limited to the caller's maximum."""
     raw_value = headers.get(
         PRIORITY_HEADER, str(min(DEFAULT_PRIORITY, caller.max_priority))
     )
@@ -150,7 +150,7 @@
 def read_model_request(
     envelope: RequestEnvelope, path: str, body: bytes
 ) -> Result[ModelRequest, Refusal]:
-    """Check the body of a model request and what it names."""
+    """Check the body of a model request and the adapter version that it names."""
     try:
         fields: Any = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
@@ -182,7 +182,7 @@
     bundle = envelope.bundle
     adapter = bundle.find_adapter(ref.name)
     if adapter is None or not is_offered(adapter, envelope.caller):
-        # Whether it exists for somebody else is not this caller's to know.
+        # The text does not reveal whether the model is offered to other callers.
         text = f"model {str(ref)!r} is not offered to you"
         return Failure(not_run_refusal(Reason.UNKNOWN_MODEL, text))
     pool = bundle.pools.get(adapter.pool)
--- a/packages/daemon/src/sardinequay_daemon/caller_server.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_server.py
@@ -1,4 +1,4 @@
-"""The callers' listener: model requests, the model list and plain services."""
+"""HTTP server for callers: model requests, the model list and plain services."""
 
 import asyncio
 import logging
@@ -54,12 +54,12 @@
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection; nobody is left to answer."""
+    """The caller closed its connection before the answer was complete."""
 
 
 @dataclass(slots=True)
 class CallerExchange:
-    """One request of a caller, on its way through this host."""
+    """One request of a caller and the state of its answer."""
 
     http: web.BaseRequest
     request_id: RequestId
@@ -70,12 +70,12 @@
 
 
 class CallerServer:
-    """Serves callers.
+    """Handles callers' HTTP requests.
 
     Parameters
     ----------
     bundle : callable
-        Returns the bundle in force; each request asks once and keeps the answer.
+        Returns the bundle in force. Each request calls it once and keeps the result.
     """
 
     def __init__(
@@ -106,12 +106,12 @@
     def server(self) -> web.Server:
         """Return the HTTP server.
 
-        It has no router: every path is the bundle's to explain.
+        It has no router, since the bundle defines the paths.
         """
         return web.Server(self.serve, handler_cancellation=True, access_log=None)
 
     async def serve(self, http: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request, whatever it is."""
+        """Handle one request and turn failures into refusals."""
         request_id = new_request_id(http.headers)
         span = self.tracing.server_span(f"{http.method} {http.path}", http.headers)
         began = self.clock.monotonic()
@@ -130,7 +130,7 @@
                 raise
             return exchange.response or web.Response(status=499)
         except Exception:
-            # A bug: loud in the log, and still a typed answer to the caller.
+            # A bug is logged with its traceback; the caller still gets a typed refusal.
             log.exception("request failed", extra={"request": request_id})
             outcome = exchange.progress.outcome
             refusal = Refusal(Reason.INTERNAL, outcome, "this host has a fault")
@@ -169,7 +169,7 @@
             self.update_idle_event()
 
     def update_idle_event(self) -> None:
-        """Let a shutdown know when nothing is in flight."""
+        """Set the event that a shutdown waits for while no request is in flight."""
         if self.admission.in_flight:
             self.idle.clear()
         else:
@@ -178,7 +178,7 @@
     async def run_within_deadline(
         self, exchange: CallerExchange, envelope: RequestEnvelope
     ) -> web.StreamResponse:
-        """Run one request, and end it when its time is over."""
+        """Run one request, and refuse it when its deadline passes."""
         remaining = envelope.deadline - self.clock.monotonic()
         try:
             async with asyncio.timeout(remaining.total_seconds()):
@@ -189,7 +189,7 @@
     async def route_request(
         self, exchange: CallerExchange, envelope: RequestEnvelope
     ) -> web.StreamResponse:
-        """Run one request by what its path means."""
+        """Run one request according to its path and method."""
         http = exchange.http
         if http.path == MODELS_PATH and http.method == "GET":
             return self.list_models(envelope)
@@ -209,7 +209,7 @@
         return await self.run_service(exchange, request)
 
     async def read_body(self, http: web.BaseRequest) -> bytes:
-        """Read a request's body up to the limit."""
+        """Read a request's body, up to the size limit."""
         limit = self.limits.max_body_bytes
         parts: list[bytes] = []
         size = http.content_length or 0
@@ -225,14 +225,14 @@
         return b"".join(parts)
 
     def list_models(self, envelope: RequestEnvelope) -> web.Response:
-        """Answer with the models that the caller may name."""
+        """Return the list of models that are offered to the caller."""
         offered = envelope.bundle.adapters_for_caller(envelope.caller.name)
         data = [{"id": str(ref), "object": "model"} for ref in offered]
         headers = self.answer_headers(envelope)
         return web.json_response({"object": "list", "data": data}, headers=headers)
 
     def answer_headers(self, envelope: RequestEnvelope) -> dict[str, str]:
-        """Return the headers that every good answer carries."""
+        """Return the headers of each successful answer."""
         return {
             REQUEST_HEADER: envelope.request_id,
             OUTCOME_HEADER: Outcome.RAN.value,
@@ -273,7 +273,7 @@
             length = answer.content_length
             is_small = length is not None and length <= MAX_BUFFERED_BYTES
             if is_small and request.method != "HEAD":
-                # Small answers go out in one piece, which spares writes.
+                # Small answers are sent in one piece, which saves writes.
                 body = await answer.read()
                 self.record_first_byte(exchange)
                 return web.Response(status=answer.status, headers=headers, body=body)
@@ -291,7 +291,7 @@
         headers: Mapping[str, str],
         data: bytes,
     ) -> None:
-        """Pass a part of an answer on to the caller."""
+        """Send a part of an answer to the caller, preceded by the head at first."""
         try:
             if exchange.response is None:
                 response = web.StreamResponse(status=status, headers=headers)
@@ -304,7 +304,7 @@
             raise CallerGoneError from error
 
     def record_first_byte(self, exchange: CallerExchange) -> None:
-        """Count the time to the first byte of an answer."""
+        """Record the time to the first byte of an answer."""
         elapsed = self.clock.monotonic() - exchange.began_at
         self.metrics.first_byte.observe({}, elapsed.total_seconds())
 
@@ -320,7 +320,7 @@
     async def refuse(
         self, exchange: CallerExchange, refusal: Refusal
     ) -> web.StreamResponse:
-        """Give a request its final answer at once."""
+        """Refuse a request, or abort its answer if that has begun."""
         self.metrics.requests.inc({"outcome": refusal.outcome.value})
         self.metrics.refusals.inc({"reason": refusal.reason.value})
         details = {
@@ -339,7 +339,7 @@
     async def abort_answer(
         self, exchange: CallerExchange, refusal: Refusal
     ) -> web.StreamResponse:
-        """End an answer that had begun, so that nobody takes it for a whole one."""
+        """End an answer that had begun so that the caller sees it is incomplete."""
         response = exchange.response
         assert response is not None
         if response.content_type == "text/event-stream":
--- a/packages/daemon/src/sardinequay_daemon/progress.py
+++ b/packages/daemon/src/sardinequay_daemon/progress.py
@@ -1,4 +1,4 @@
-"""How far one request came, and how it finally failed."""
+"""Progress of one request through its attempts, and its final failure."""
 
 from dataclasses import dataclass, replace
 
@@ -9,22 +9,22 @@
 
 @dataclass(unsafe_hash=True)
 class RequestRefusedError(DaemonError):
-    """A request's final failure."""
+    """The final failure of a request, with the refusal for its caller."""
 
     refusal: Refusal
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far one request came.
+    """The attempts of one request, and how much of its answer was passed on.
 
     Parameters
     ----------
     attempt_in_flight : bool
-        Whether an attempt is at a target now.
+        Whether an attempt is in flight at a target.
     is_uncertain : bool
-        Whether some attempt ended without a proof that it had not run. No later attempt
-        undoes that.
+        Whether some attempt ended without proof that the request had not run. Later
+        attempts do not change that.
     last_event : int
         Number of the last event passed on; 0 before the first.
     """
@@ -36,12 +36,12 @@
     last_event: int = 0
 
     def begin_attempt(self) -> None:
-        """Note that bytes may leave for a target from now on."""
+        """Record an attempt: bytes may be sent to a target from now on."""
         self.attempts += 1
         self.attempt_in_flight = True
 
     def end_attempt(self, proves_not_run: bool) -> None:
-        """Note that an attempt failed, and what that proves."""
+        """Record a failed attempt and whether it proves that nothing ran."""
         self.attempt_in_flight = False
         self.is_uncertain = self.is_uncertain or not proves_not_run
 
@@ -52,14 +52,14 @@
 
     @property
     def outcome(self) -> Outcome:
-        """Return what a failure now has to say."""
+        """Return the outcome that a failure at this point has to report."""
         if self.last_event:
             return Outcome.RAN
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
 
 def with_proven_outcome(refusal: Refusal, progress: Progress) -> Refusal:
-    """Return a refusal that does not say "not run" after an attempt that may have."""
+    """Return a refusal that states "not run" only if no attempt may have run."""
     if refusal.outcome is Outcome.NOT_RUN and progress.outcome is not Outcome.NOT_RUN:
         return replace(refusal, outcome=progress.outcome)
     return refusal
@@ -72,6 +72,6 @@
 
 
 def answer_lost_refusal() -> Refusal:
-    """Return the end of a request that was sent and of which no answer came."""
+    """Return the refusal of a request that was sent and whose answer was lost."""
     text = "the target's answer was lost; it may have run the request"
     return Refusal(Reason.TARGET_FAILED, Outcome.UNKNOWN, text)
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests of any shape: checks them, relays them, answers for them."""
+"""HTTP server for callers that checks each request, then relays or refuses it."""
 
 import asyncio
 import logging
@@ -29,14 +29,14 @@
 from .tracing import Tracing
 
 MAX_FIELD_BYTES = 16_384
-"""A header line longer than this is refused by the parser; the limit on all headers
-together is the configuration's."""
+"""Longest header line that the parser accepts. The limit on all headers of a request
+together is set by the configuration."""
 
 BODIES_MEMORY_SHARE = 0.2
-"""Part of the process's memory that request bodies may take together."""
+"""Share of the process's memory for the bodies of all requests in flight."""
 
 OVERDUE_CHECK_S = 0.25
-"""How often connections that take too long are looked for."""
+"""Period of the check for connections past their time limits, in seconds."""
 
 NO_CONFIG_RETRY = seconds(0.5)
 BODY_RETRY = seconds(0.5)
@@ -45,7 +45,7 @@
 
 
 class RelayServer(web.Server):
-    """The listener for callers."""
+    """HTTP server that relays callers' requests to targets."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self.stops_at: Instant | None = None
 
     def __call__(self) -> CallerConnection:
-        """Make the protocol of one connection."""
+        """Return the protocol of a new connection."""
         idle_s = self.limits().idle_timeout.total_seconds()
         return CallerConnection(
             self,
@@ -86,12 +86,12 @@
         )
 
     def limits(self) -> CallerLimits:
-        """Return what callers may send now."""
+        """Return the limits on callers' requests by the configuration in force."""
         config = self.state.catalogue.config
         return config.limits if config is not None else CallerLimits()
 
     async def close_overdue_connections(self) -> None:
-        """Close connections that take too long, for good."""
+        """Check periodically for connections past their time limits, and close them."""
         while True:
             await asyncio.sleep(OVERDUE_CHECK_S)
             now, limits = self.clock.monotonic(), self.limits()
@@ -103,10 +103,8 @@
                 ):
                     connection.force_close()
 
-    # One request.
-
     async def handle(self, http: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one HTTP request and count it while it is in flight."""
         connection = http.protocol
         assert isinstance(connection, CallerConnection)
         connection.begin_request()
@@ -121,7 +119,7 @@
     async def answer(
         self, http: web.BaseRequest, arrived: Instant
     ) -> web.StreamResponse:
-        """Check a request and serve it, or refuse it."""
+        """Check a request, then relay or refuse it."""
         request_id = ""
         admitted: Admitted | None = None
         answer = CallerAnswer(self, http, arrived)
@@ -161,7 +159,7 @@
             raise
 
     def read_terms(self, http: web.BaseRequest) -> RequestTerms:
-        """Read what the request says of itself."""
+        """Check the size and form of a request's head and parse its headers."""
         size = sum(len(name) + len(value) + 4 for name, value in http.raw_headers)
         limit = self.limits().max_header_bytes
         if size + len(http.raw_path) > limit:
@@ -178,7 +176,7 @@
         return terms
 
     def find_route(self, http: web.BaseRequest) -> tuple[ServingConfig, Route]:
-        """Return the route in force for a request."""
+        """Return the configuration in force and its route for a request."""
         config = self.state.catalogue.config
         if config is None:
             text = "no configuration is known yet"
@@ -196,7 +194,7 @@
         return config, route
 
     def refuse_if_closing(self, route: Route) -> None:
-        """Refuse what a stopping host cannot complete any more."""
+        """Refuse a request that may outlast the shutdown of this host."""
         stops_at = self.stops_at
         if not self.is_closing or stops_at is None:
             return
@@ -216,7 +214,7 @@
         organisation: Organisation | None,
         arrived: Instant,
     ) -> RelayExchange:
-        """Read the body and put the request together."""
+        """Read the request's body and return the exchange for the relay."""
         wait = min(terms.wait or route.timeout, route.timeout)
         deadline = arrived + wait
         body = await self.read_body(http, config.limits, deadline)
@@ -243,9 +241,10 @@
     async def read_body(
         self, http: web.BaseRequest, limits: CallerLimits, deadline: Instant
     ) -> bytes:
-        """Read a request's body within its limit, its time and the memory for all.
+        """Read a body within the size limit, the deadline and the memory for bodies.
 
-        The bytes count until the request has ended; the caller of this gives them back.
+        The bytes count against the memory until the request has ended; `answer`
+        subtracts them then.
         """
         limit = limits.max_body_bytes
         if (http.content_length or 0) > limit:
@@ -283,7 +282,7 @@
 
 
 def too_large_refusal(limit: int) -> Refusal:
-    """Return the refusal of a body beyond the limit."""
+    """Return the refusal of a body beyond the size limit."""
     return not_run_refusal(Reason.TOO_LARGE, f"the body exceeds {limit} bytes")
 
 
@@ -291,7 +290,7 @@
 
 
 def readiness_app(path: str, is_ready: ReadinessCheck) -> web.Application:
-    """Return the answers to the platform's question whether this host is ready."""
+    """Return the HTTP application that answers the platform's readiness check."""
 
     async def ready(_: web.Request) -> web.Response:
         if is_ready():
--- a/packages/daemon/src/sardinequay_daemon/server_sent_events.py
+++ b/packages/daemon/src/sardinequay_daemon/server_sent_events.py
@@ -1,4 +1,4 @@
-"""Cutting a stream of server-sent events without touching their bytes."""
+"""Splitting of a stream into whole server-sent events, with their bytes unchanged."""
 
 from dataclasses import dataclass
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EventBatch:
-    """Whole events as they came.
+    """One or more whole events, as received.
 
     Parameters
     ----------
     data : bytes
-        One or more whole events.
+        The bytes of the events.
     first_id, last_id : int
         Numbers of the first and the last numbered event; 0 if none has one.
     done : bool
@@ -29,13 +29,13 @@
 
 
 class EventSplitter:
-    """Collects bytes until they make whole events."""
+    """Buffers the bytes of a stream until they form whole events."""
 
     def __init__(self) -> None:
         self.remainder = b""
 
     def feed(self, data: bytes) -> EventBatch | None:
-        """Take bytes; return the events that they complete, if any."""
+        """Add bytes and return the events that they complete, if any."""
         data = self.remainder + data
         end = data.rfind(EVENT_END)
         if end < 0:
--- a/packages/daemon/tests/test_caller_requests.py
+++ b/packages/daemon/tests/test_caller_requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests: what is refused before anything is dispatched."""
+"""Validation of callers' requests before anything is dispatched."""
 
 import json
 from hashlib import sha256
--- a/packages/daemon/tests/test_progress.py
+++ b/packages/daemon/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""How far a request came: what a failure after it may say."""
+"""Outcomes that a refusal may state after a request's attempts."""
 
 from datetime import timedelta
 
@@ -19,8 +19,8 @@
 def test_attempt_that_may_have_run_is_not_undone_by_a_later_one(
     later_proves: bool,
 ) -> None:
-    # Found in a trial with a restarted engine: the first attempt ran on the engine that
-    # died, the second was refused as not loaded, and the request was called "not run".
+    # Guards against a refusal that states "not run" although the first attempt ran: its
+    # engine died and restarted, and the second attempt was refused as not loaded.
     progress = Progress()
     progress.begin_attempt()
     progress.end_attempt(proves_not_run=False)
