--- a/packages/daemon/src/sardinequay_daemon/serving_ports.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_ports.py
@@ -1,7 +1,7 @@
-"""What the serving host needs from a deployment, in this project's own types.
+"""Interfaces that a deployment implements for the serving host, and their types.
 
-A deployment's adapter decodes its wire into these types once. It translates only: every
-decision, retry and state is on this side.
+A deployment's adapter only translates between its wire formats and these types. All
+decisions, retries and state are on the side of the serving host.
 """
 
 from dataclasses import dataclass, field
@@ -28,25 +28,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTerms:
-    """What a caller's request says of itself.
+    """The terms of a caller's request, by its headers.
 
     Parameters
     ----------
     model : str
         The base model; empty for a request to a plain service.
     adapter : str
-        ``model/adapter``; empty where only the base model is asked for.
+        ``model/adapter``; empty for a request to the base model itself.
     prompt_tokens : int
-        Tokens to be read before the first event.
+        Tokens of the prompt, which an engine processes before the first event.
     wait : timedelta or None
         How long the caller waits, counted from the request's arrival.
     caller : str
-        By what the caller is known; empty if the request does not say. A secret: it
-        enters digests only.
+        What identifies the caller; empty if the request does not state it. It is secret
+        and is used in digests only.
     key : KeyDigest or None
-        The key that it came with, if any.
+        Digest of the key that the request carries, if any.
     tokens : int or None
-        Tokens to be read and at most made for it; None if it does not say.
+        Prompt tokens and the maximum of generated tokens; None if not stated.
     """
 
     request_id: str
@@ -62,20 +62,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SendTerms:
-    """What goes with one attempt.
+    """The terms of one attempt, for the headers that a target gets.
 
     Parameters
     ----------
     left : timedelta
-        Time that is left for the answer.
+        Time left for the answer.
     urgency : int
-        Rank among requests on an engine, 0 first to 9.
+        Priority among the requests on an engine, from 0 (first) to 9.
     version : str
         The adapter's version that the engine must have; empty for any.
     resume_after : str
-        The id of the last event passed on, for a stream that is taken up again.
+        The id of the last event passed on, for a stream that is resumed.
     organisation : str
-        The organisation that asks; empty if that is not known.
+        The organisation that sent the request; empty if unknown.
     """
 
     target: Target
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What the head of a target's answer says.
+    """What the head of a target's answer states.
 
     Parameters
     ----------
     request_id : str
-        Whose answer it is; empty if it does not say.
+        Id of the request that it answers; empty if not stated.
     instance : str
-        The target that answered; empty if it does not say.
+        The target that answered; empty if not stated.
     not_run : bool
         Whether the target states that it has not run the request.
     is_misdirected : bool
@@ -110,10 +110,10 @@
 
 
 class HttpDialect(Protocol):
-    """How requests and answers are spelled."""
+    """The deployment's header conventions for requests and answers."""
 
     def parse_terms(self, headers: Headers) -> Result[RequestTerms, Refusal]:
-        """Read what a request says of itself."""
+        """Parse the terms of a caller's request."""
 
     def target_headers(
         self, headers: Headers, request: RequestTerms, send: SendTerms
@@ -121,10 +121,10 @@
         """Return the headers to send to a target."""
 
     def read_facts(self, status: int, headers: Headers) -> AnswerFacts:
-        """Read the head of an answer."""
+        """Parse the head of a target's answer."""
 
     def caller_headers(self, headers: Headers) -> CIMultiDict[str]:
-        """Return the headers of a target's answer that the caller gets."""
+        """Return the headers of a target's answer to pass on to the caller."""
 
     def refusal_headers(self, request_id: str, refusal: Refusal) -> dict[str, str]:
         """Return the headers of a refusal."""
@@ -147,41 +147,42 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRead:
-    """What a read of the store gave, and the revision up to which it is complete."""
+    """The result of a read of the store, complete up to a revision."""
 
     items: tuple[StoreItem, ...]
     revision: int
 
 
 class MetadataStore(Protocol):
-    """The store of the deployment, read-only."""
+    """The deployment's metadata store, read-only."""
 
     async def list_all(self) -> Result[StoreRead, PlatformError]:
-        """Read everything."""
+        """Read all items."""
 
     async def watch(
         self, after: int, wait: timedelta
     ) -> Result[StoreRead, PlatformError]:
-        """Wait for what changed after a revision."""
+        """Wait for items that changed after a revision, and return them."""
 
     def decode(self, item: StoreItem) -> Change | None:
-        """Return the change that an item means; None if it is not for us.
+        """Return the catalogue change that an item describes; None if it is irrelevant.
 
         Raises
         ------
         PlatformError
-            If the item is not what it must be.
+            If the item is malformed.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class OrderTerms:
-    """Who orders, and under which fencing token.
+    """The holder that sends an order, its fencing token and the order count expected.
 
     Parameters
     ----------
     expected_orders : int or None
-        Orders that the engine must have accepted so far, or it refuses.
+        Number of orders that the engine must have accepted so far; with another
+        number it refuses. None to skip this check.
     """
 
     holder: HostId
@@ -191,52 +192,52 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """The order is carried out, or already holds."""
+    """The engine carries the order out, or it already holds."""
 
     holds_already: bool
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """Nothing was done."""
+    """The engine refused the order and changed nothing."""
 
     detail: str
     is_stale_token: bool = False
 
 
 class EngineOrders(Protocol):
-    """Reports of engines, and orders to them."""
+    """Status reports of engines and orders to them."""
 
     async def report(self, target: Target) -> Result[EngineStatus, PlatformError]:
-        """Ask an engine for its report."""
+        """Request an engine's status report."""
 
     async def order(
         self, target: Target, order: EngineOrder, terms: OrderTerms
     ) -> Result[OrderAccepted | OrderRefused, PlatformError]:
-        """Give an engine an order; a failure leaves open whether it was accepted."""
+        """Send an engine an order; a failure leaves open whether it was accepted."""
 
     async def probe_status(
         self, target: Target, incarnation: int, health_path: str
     ) -> ProbeResult:
-        """Return what a target shows of the start that had a request."""
+        """Query whether the incarnation of a target that had a request still runs."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServingBounds:
-    """Figures of the deployment that decisions keep to.
+    """Time limits, retry budgets and quota tolerances of the deployment.
 
     Parameters
     ----------
     order_quiet : timedelta
-        Orders of two hosts to one engine must lie further apart.
+        Time by which orders of two hosts to one engine must be more than apart.
     grace : timedelta
-        From a stop signal to the kill.
+        Time from the stop signal to the kill.
     entry_return : timedelta
-        After the store's return, entries of targets that live are back within this.
+        Time within which live targets have their entries back after a store outage.
     repeat_ratio, repeat_slack, repeat_window
-        The bound on further arrivals at a pool, see `RepeatPolicy`.
+        Limits of a pool's retry budget, see `RepeatPolicy`.
     quotas : QuotaPolicy
-        What organisations' quotas may be exceeded by.
+        By how much organisations' quotas may be exceeded.
     """
 
     order_quiet: timedelta = timedelta(seconds=3.3)
@@ -249,22 +250,22 @@
 
     @property
     def repeats(self) -> RepeatPolicy:
-        """Return the bound on further attempts, over all hosts."""
+        """Return the policy of the retry budgets, over all hosts."""
         return RepeatPolicy(self.repeat_ratio, self.repeat_slack, self.repeat_window)
 
 
 @dataclass(frozen=True, slots=True)
 class HostProfile:
-    """Who this host is, and where it listens.
+    """Identity, addresses and limits of this host.
 
     Parameters
     ----------
     seeds : tuple of Address
-        Peer addresses of a few hosts, to find the others by; they may be down.
+        Peer addresses of a few hosts, to discover the others; they may be down.
     is_first_start : bool
         Whether the whole system starts for the first time.
     link_mbps : float
-        What its link carries, in megabits a second; 0 if that is not known.
+        Bandwidth of its network link, in megabits a second; 0 if unknown.
     """
 
     host_id: HostId
--- a/packages/daemon/src/sardinequay_daemon/single_send.py
+++ b/packages/daemon/src/sardinequay_daemon/single_send.py
@@ -1,7 +1,8 @@
-"""One request goes out once, whatever the HTTP library would do.
+"""HTTP client sessions without the automatic resends of aiohttp.
 
-The library sends idempotent methods once more by itself when a connection breaks. Such
-a send is within no budget, and is not known to whoever must not run the request twice.
+aiohttp resends requests with idempotent methods by itself when a connection breaks.
+Such a resend is outside the retry budgets, and hidden from the code which ensures that
+a request does not run twice.
 """
 
 from collections.abc import Callable
@@ -17,12 +18,12 @@
 async def send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Pass a request on to the library, and on what it would send again, fail.
+    """Send a request, and raise an error of its own where aiohttp would resend it.
 
     Raises
     ------
     ConnectionLostError
-        If the connection broke before an answer's head came.
+        If the connection broke before the answer's head arrived.
     """
     try:
         return await handler(request)
@@ -35,12 +36,14 @@
 def client_session(
     connector: aiohttp.BaseConnector, **options: Any
 ) -> aiohttp.ClientSession:
-    """Return a client whose calls go out once; all clients of hosts are made here.
+    """Return a client session that sends each request once.
+
+    All client sessions of the daemon are made here.
 
     Parameters
     ----------
     options
-        As the library's session takes them.
+        Keyword arguments of `aiohttp.ClientSession`.
     """
     return aiohttp.ClientSession(
         connector=connector, middlewares=(send_once,), **options
@@ -48,14 +51,14 @@
 
 
 class CountedSend:
-    """One request on its way to a target.
+    """Middleware of one request that reports when it is sent and on which connection.
 
     Parameters
     ----------
     on_send : callable
-        Called when the request goes out.
+        Called when the request is sent.
     is_on_reused_connection : bool
-        Whether it went over a connection that had been used before.
+        Whether the request was sent over a connection that had been used before.
     """
 
     def __init__(self, on_send: Callable[[], None]) -> None:
@@ -65,12 +68,12 @@
     async def __call__(
         self, request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
     ) -> aiohttp.ClientResponse:
-        """Count the request and send it once.
+        """Report that the request is sent, and send it once.
 
         Raises
         ------
         TargetError
-            If a connection that had been used before broke without an answer.
+            If a connection that had been used before broke before the answer's head.
         """
         self.on_send()
         try:
@@ -82,9 +85,9 @@
 
 
 def connection_reuse_trace() -> aiohttp.TraceConfig:
-    """Return what tells sends that their connections had been used before.
+    """Return the trace configuration that marks requests on reused connections.
 
-    Each call of the session gives its `CountedSend` as its trace's context.
+    Each call of the session passes its `CountedSend` as ``trace_request_ctx``.
     """
     trace = aiohttp.TraceConfig()
     trace.on_connection_reuseconn.append(mark_connection_reused)
@@ -96,6 +99,6 @@
     context: SimpleNamespace,
     __: aiohttp.TraceConnectionReuseconnParams,
 ) -> None:
-    """Note that a request goes over a connection that had been used before."""
+    """Mark a request as sent over a connection that had been used before."""
     send: CountedSend = context.trace_request_ctx
     send.is_on_reused_connection = True
--- a/packages/daemon/src/sardinequay_daemon/target_errors.py
+++ b/packages/daemon/src/sardinequay_daemon/target_errors.py
@@ -1,4 +1,4 @@
-"""What errors of the HTTP library prove about a request to a target."""
+"""Translation of aiohttp errors by what they prove about a request to a target."""
 
 import aiohttp
 
@@ -9,16 +9,16 @@
 
 
 class TargetErrorTranslator:
-    """Turns the HTTP library's errors into what they prove.
+    """Context manager that raises `TargetError` in place of aiohttp's errors.
 
-    A class, not a generator: it stands on the path of every request.
+    It is a class, not a generator, for speed: each request passes through it.
     """
 
     def __enter__(self) -> None:
-        """Begin."""
+        """Enter the context."""
 
     def __exit__(self, kind: object, error: BaseException | None, _: object) -> None:
-        """Raise what an error of the library proves."""
+        """Raise the `TargetError` that corresponds to an error of aiohttp."""
         if error is None:
             return
         if isinstance(error, NOT_SENT_ERRORS):
--- a/packages/daemon/src/sardinequay_daemon/upstream.py
+++ b/packages/daemon/src/sardinequay_daemon/upstream.py
@@ -1,4 +1,4 @@
-"""Sends one attempt to a target, and says what a failure proves."""
+"""HTTP client for targets, whose errors state whether a request may have run."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Callable
@@ -20,24 +20,25 @@
 from .target_errors import TargetErrorTranslator
 
 KEEPALIVE_S = 3.0
-"""How long a connection is kept for another request. Targets keep theirs longer; what
-a connection that went silent costs grows with this."""
+"""How long an idle connection is kept for reuse, in seconds. Targets keep theirs
+longer; the cost of connections that died unnoticed grows with this."""
 
 MAX_BUFFERED_BYTES = 65_536
-"""Answers up to this are read whole before the caller gets any of them."""
+"""Size up to which an answer is buffered whole before the caller gets any of it."""
 
 SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """A request as it goes out.
+    """A request to a target, ready to be sent.
 
     Parameters
     ----------
     may_reuse_connection : bool
-        Whether it may use a connection that was used before. What must not run twice
-        takes a new one: an old one may have gone silent, or hold another's answer.
+        Whether the request may use a connection that was used before. A request that
+        must not run twice gets a new one: an old one may be dead, or may hold the
+        answer to another request.
     """
 
     method: str
@@ -48,14 +49,14 @@
 
 
 class StrictResponseHandler(ResponseHandler):
-    """A connection that tells a reset from an end, and notices what nobody asked for.
+    """Connection protocol that detects resets and unsolicited answers.
 
-    The library takes any end of a connection for the end of an answer without a length.
-    It also hands out a kept connection on which an extra answer has arrived.
+    aiohttp takes any end of a connection for the end of an answer without a length. It
+    also reuses an idle connection on which an unsolicited answer has arrived.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Let an answer that was reset fail for its reader."""
+        """Raise an error in the reader of an answer whose connection was reset."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(f"reset: {exc!r}"))
@@ -67,7 +68,7 @@
 
 
 class UpstreamConnector(aiohttp.TCPConnector):
-    """Opens watched connections."""
+    """Connector whose connections use `StrictResponseHandler`."""
 
     def __init__(self, source_ip: str, **options: Any) -> None:
         super().__init__(limit=0, local_addr=(source_ip, 0), **options)
@@ -75,7 +76,7 @@
 
 
 class Upstream:
-    """Connections to targets."""
+    """Client sessions for targets: one that reuses connections, one that does not."""
 
     def __init__(self, source_ip: str) -> None:
         self.pooled_session = make_session(
@@ -93,20 +94,21 @@
         head_timeout_s: float,
         on_send: Callable[[], None],
     ) -> AsyncGenerator[aiohttp.ClientResponse, None]:
-        """Send a request and yield its answer once the head is there.
+        """Send a request and yield the answer once its head has arrived.
 
-        Leaving before the answer's end closes the connection, which cancels the request
-        at the target.
+        Leaving the context before the answer's end closes the connection, which cancels
+        the request at the target.
 
         Parameters
         ----------
         on_send : callable
-            Called when the request goes out.
+            Called when the request is sent.
 
         Raises
         ------
         TargetError
-            If no head came; the fault says whether the target may have run it.
+            If no head arrived; the fault states whether the target may have run the
+            request.
         """
         answer = await self.wait_for_head(address, request, head_timeout_s, on_send)
         try:
@@ -152,7 +154,7 @@
 
 
 def make_session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
-    """Return a session that passes bytes on as they are."""
+    """Return a session that keeps answers as received and stores no cookies."""
     return client_session(
         connector,
         auto_decompress=False,
--- a/packages/daemon/tests/test_single_send.py
+++ b/packages/daemon/tests/test_single_send.py
@@ -1,4 +1,4 @@
-"""A call of a host's client goes out once."""
+"""Client sessions of the daemon send each request once."""
 
 import asyncio
 from collections.abc import AsyncIterator
