--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -1,4 +1,4 @@
-"""One request at one target: sent, its answer passed on, its end judged."""
+"""One attempt: send a request to a target, pass on the answer, record the result."""
 
 import asyncio
 import logging
@@ -24,7 +24,8 @@
 from .upstream import MAX_BUFFERED_BYTES, Upstream, UpstreamRequest
 
 HEAD_TIMEOUT_GOALS = 2.0
-"""Goals that an idempotent request waits on one target before another is tried."""
+"""Wait for the head of an answer before another target is tried, for requests that may
+run again, as a multiple of the route's latency goal."""
 
 MIN_HEAD_TIMEOUT_S = 0.15
 LOWEST_URGENCY = 9
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayDependencies:
-    """What relaying a request needs."""
+    """Objects that the relay, its attempts and the choice of targets share."""
 
     state: RelayState
     dialect: HttpDialect
@@ -45,12 +46,13 @@
 
 
 class Attempt:
-    """One request at one target.
+    """One attempt of a request at one target.
 
     Parameters
     ----------
     is_resend : bool
-        Whether it was sent there just now, over a kept connection that broke.
+        Whether the request was sent to this target just before, over a reused
+        connection that broke.
     """
 
     def __init__(
@@ -78,14 +80,16 @@
         self.trace_headers: dict[str, str] = {}
 
     def find_adapter(self) -> AdapterRef | None:
-        """Return the adapter as the target holds it."""
+        """Return the request's adapter in the version that the target holds."""
         if not self.exchange.terms.adapter:
             return None
-        wanted = self.state.required_adapter(self.exchange.terms)
-        return self.state.residency.resident_adapter(self.published, wanted) or wanted
+        required = self.state.required_adapter(self.exchange.terms)
+        return (
+            self.state.residency.resident_adapter(self.published, required) or required
+        )
 
     def begin_accounting(self) -> None:
-        """Count the attempt in."""
+        """Add the attempt to the target's load, adapter uses and health counts."""
         loads = self.state.loads
         now = self.clock.monotonic()
         self.expected_s = loads.expected_first_event_s(self.target_id, self.tokens, now)
@@ -99,7 +103,7 @@
         self.state.health.record_sent(self.target_id)
 
     def end_accounting(self) -> None:
-        """Count the attempt out."""
+        """Remove the attempt from the target's load, adapter uses and health counts."""
         self.state.loads.record_end(self.target_id, self.tokens, self.has_first_event)
         self.state.health.record_request_end(self.target_id)
         if self.adapter is not None and self.is_same_incarnation():
@@ -108,20 +112,20 @@
                 self.parts.load_requests.report_use(self.target_id, self.adapter, count)
 
     def is_same_incarnation(self) -> bool:
-        """Return whether the target has not started again since it was chosen."""
+        """Return whether the target has not restarted since it was chosen."""
         now = self.state.catalogue.targets.get(self.target_id)
         return now is None or now.incarnation == self.published.incarnation
 
     def record_first_event(self) -> None:
-        """Count the prompt as read."""
+        """Record the first event, by which the engine has read the prompt."""
         if not self.has_first_event:
             self.has_first_event = True
             self.state.loads.record_first_event(self.target_id, self.tokens)
 
-    def record_verdict(self, verdict: AttemptResult) -> None:
-        """Let the attempt's end count for or against the target."""
+    def record_result(self, result: AttemptResult) -> None:
+        """Record the attempt's result in the target's health."""
         is_out = self.state.health.record_result(
-            self.target_id, verdict, self.sent_at, self.clock.monotonic()
+            self.target_id, result, self.sent_at, self.clock.monotonic()
         )
         if is_out:
             self.parts.metrics.left_out.inc({"pool": self.exchange.pool})
@@ -130,12 +134,12 @@
                 extra={
                     "target": self.target_id,
                     "request": self.exchange.terms.request_id,
-                    "verdict": verdict.value,
+                    "verdict": result.value,
                 },
             )
 
     def build_request(self) -> UpstreamRequest:
-        """Return the request as it goes to the target."""
+        """Return the request with the headers for the target."""
         exchange = self.exchange
         version = ""
         if self.adapter is not None and self.adapter.name in (
@@ -176,7 +180,7 @@
         return min(left_s, max(MIN_HEAD_TIMEOUT_S, HEAD_TIMEOUT_GOALS * goal_s))
 
     async def execute(self, sink: AnswerSink) -> AttemptEnd | None:
-        """Send, and pass the answer on."""
+        """Send the request and pass the answer on; return how that failed, or None."""
         upstream = self.parts.upstream
         request = self.build_request()
         address = self.target.address
@@ -197,18 +201,18 @@
         self.parts.metrics.sends.inc({"pool": self.exchange.pool})
 
     def handle_rejection(self, status: int, facts: AnswerFacts) -> AttemptEnd:
-        """Take the target's statement that it has not run the request."""
+        """Handle an answer which states that the target has not run the request."""
         exchange = self.exchange
         end = AttemptEnd.REJECTED
         if facts.is_misdirected:
             end = AttemptEnd.MISDIRECTED
             if facts.instance and facts.instance != self.target_id:
-                self.record_verdict(AttemptResult.CONNECTION_LOST)
+                self.record_result(AttemptResult.CONNECTION_LOST)
             elif self.adapter is not None and self.is_same_incarnation():
                 self.state.residency.record_missing(self.published, self.adapter)
                 self.parts.load_requests.report_missing(self.published, self.adapter)
         else:
-            self.record_verdict(AttemptResult.REJECTED)
+            self.record_result(AttemptResult.REJECTED)
         log.info(
             "attempt rejected",
             extra={
@@ -222,22 +226,22 @@
         return end
 
     def handle_failure(self, error: TargetError) -> AttemptEnd:
-        """Take a failure on the way."""
+        """Handle an error before the end of the answer."""
         exchange = self.exchange
         end = AttemptEnd.MAY_HAVE_RUN
         if exchange.answer_started:
             end = AttemptEnd.BROKEN_OFF
         if error.fault is TargetFault.NOT_SENT:
             end = AttemptEnd.NOT_SENT
-            self.record_verdict(AttemptResult.UNREACHABLE)
+            self.record_result(AttemptResult.UNREACHABLE)
         elif error.fault is TargetFault.LOST_ON_KEPT:
-            # Targets close connections that they kept at any moment: that alone says
-            # nothing against one.
+            # Targets may close idle connections at any time, so that the loss of one
+            # does not count against the target's health.
             end = AttemptEnd.LOST_ON_REUSED_CONNECTION
         elif error.fault is TargetFault.SILENT:
-            self.record_verdict(AttemptResult.TIMED_OUT)
+            self.record_result(AttemptResult.TIMED_OUT)
         else:
-            self.record_verdict(AttemptResult.FAILED)
+            self.record_result(AttemptResult.FAILED)
         log.info(
             "attempt failed",
             extra={
@@ -258,11 +262,11 @@
     async def forward_answer(
         self, answer: aiohttp.ClientResponse, sink: AnswerSink
     ) -> AttemptEnd | None:
-        """Pass an answer on."""
+        """Pass an answer on, or return its failure if another attempt may follow."""
         exchange = self.exchange
         is_failure = answer.status >= SERVER_ERROR
         if is_failure:
-            self.record_verdict(AttemptResult.FAILED)
+            self.record_result(AttemptResult.FAILED)
             attempts = exchange.attempts_so_far.with_attempt(AttemptEnd.MAY_HAVE_RUN)
             if exchange.answer_started or (
                 exchange.route.repetition.may_run_again
@@ -275,13 +279,13 @@
             await self.forward_body(answer, sink)
         if not is_failure:
             self.was_served = True
-            self.record_verdict(AttemptResult.SUCCEEDED)
+            self.record_result(AttemptResult.SUCCEEDED)
         return None
 
     async def forward_head(
         self, answer: aiohttp.ClientResponse, sink: AnswerSink
     ) -> None:
-        """Send the answer's head on, if none was."""
+        """Pass the answer's head on, unless an earlier attempt has passed one on."""
         if not self.exchange.answer_started:
             self.exchange.answer_started = True
             await sink.begin_answer(AnswerHead(answer.status, answer))
@@ -289,10 +293,10 @@
     async def forward_body(
         self, answer: aiohttp.ClientResponse, sink: AnswerSink
     ) -> None:
-        """Pass a plain answer on: in one piece if it is small, else as it comes.
+        """Pass a plain answer on: in one piece if it is small, else in chunks.
 
-        The caller gets nothing of an answer that breaks off while it is small, so that
-        another target may still answer.
+        A small answer is buffered, so that the caller gets nothing of it if it breaks
+        off and another target may still answer.
         """
         body = AnswerBody(answer, self.exchange, self.clock)
         chunks: list[bytes] = []
@@ -310,7 +314,7 @@
     async def forward_stream(
         self, answer: aiohttp.ClientResponse, sink: AnswerSink
     ) -> None:
-        """Pass a stream on, event by event."""
+        """Pass a stream on in whole server-sent events."""
         exchange = self.exchange
         splitter = EventSplitter()
         body = AnswerBody(answer, exchange, self.clock)
@@ -329,7 +333,7 @@
         await sink.write_body(splitter.remainder)
 
     def record_read_pace(self) -> None:
-        """Learn how fast the engine reads from when its first event came."""
+        """Record the time to the first event, by which prompt speed is estimated."""
         now = self.clock.monotonic()
         self.state.loads.record_pace(
             self.target_id, self.typical_s, self.elapsed_s(), now
@@ -337,7 +341,7 @@
 
 
 class AnswerBody:
-    """The bytes of an answer as they come, within the request's time."""
+    """Reader of an answer's body that observes the request's deadline."""
 
     def __init__(
         self, answer: aiohttp.ClientResponse, exchange: RelayExchange, clock: Clock
@@ -347,12 +351,12 @@
         self.clock = clock
 
     async def read_chunk(self) -> bytes:
-        """Return the next bytes; none at the end.
+        """Return the next chunk; empty at the end.
 
         Raises
         ------
         TargetError
-            If the answer breaks off, or the request's time is over.
+            If the connection breaks or the request's deadline passes.
         """
         left_s = self.exchange.time_left(self.clock.monotonic()).total_seconds()
         try:
--- a/packages/daemon/src/sardinequay_daemon/connection_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/connection_probe.py
@@ -1,4 +1,4 @@
-"""Finds out whether something takes connections at an address."""
+"""Probe of an address: whether TCP connections are accepted and stay open."""
 
 import asyncio
 from dataclasses import dataclass
@@ -6,22 +6,23 @@
 from sardinequay_core.names import Address
 
 CONNECT_S = 0.4
-"""Bound on opening a connection: many times a round trip, below a lost packet's second
-of waiting. A target that does not answer to this is cut off or gone."""
+"""Timeout for opening a connection, in seconds: many round trips, but less than the one
+second after which a lost packet is sent again. A target that does not answer within it
+is unreachable or gone."""
 
 MIN_OPEN_S = 0.05
-"""A new connection that lasts so long was taken by the target itself: a gateway before
-one that has ended closes it at once."""
+"""A new connection that stays open for this time, in seconds, was accepted by the
+target itself: a gateway in front of a target that has ended closes it at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionProbe:
-    """Opens connections from one IP number."""
+    """Opens probe connections from one source IP address."""
 
     source_ip: str
 
     async def accepts(self, address: Address) -> bool:
-        """Return whether something takes a connection there and keeps it."""
+        """Return whether a connection to an address is accepted and stays open."""
         source = (self.source_ip, 0)
         try:
             async with asyncio.timeout(CONNECT_S):
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -1,9 +1,12 @@
-"""Keeps requests under which targets end from target after target.
-
-`quarantine` decides; here it learns of targets' ends and of other hosts' knowledge, and
-requests of a content under suspicion run one at a time in the fleet: a host that lives,
-the same for all hosts, gives the permits. Where that host does not answer, each host
-lets one at a time run: callers of a cut-off host are served all the same.
+"""Protection of targets from requests that crash one target after another.
+
+Requests are grouped by their content, a digest of what they ask for. A content is under
+suspicion once a target's process ended while it had such a request; after more ends it
+is quarantined. `quarantine` decides that, and this module feeds it with targets' ends
+and with other hosts' observations. Requests of a content under suspicion run one at a
+time in the fleet, by permits from one live host that all hosts determine alike. If that
+host does not answer, each host issues its own permits, so that callers of a partitioned
+host are still served.
 """
 
 import asyncio
@@ -36,22 +39,23 @@
 from .target_end_detector import InterruptedRequest, TargetEndDetector
 
 PERMIT_CALL_TIMEOUT_S = 0.25
-"""Bound on asking for a permit; hosts of a region answer in a few milliseconds."""
+"""Timeout of a permit request, in seconds; hosts of a region answer in a few
+milliseconds."""
 
 MAX_PROBE_WAIT_S = 1.0
-"""How long another attempt waits at most to know whether the last target ended, in
-seconds: longer than the question takes."""
+"""How long the next attempt waits at most for the probe of the last target, in seconds:
+longer than a probe takes."""
 
 PERMIT_POLL_S = 0.05
-"""How often a request asks for a permit that another run has: about what a plain
-request runs for."""
+"""Interval at which a request asks again for a permit that another run has, in seconds:
+about the run time of a plain request."""
 
 MAX_PERMIT_WAIT_S = 0.5
-"""How long a request waits for a permit, in seconds: what ends targets does so earlier,
-and who waits for a stream to end would be late."""
+"""How long a request waits for a permit, in seconds: requests that crash targets do so
+earlier, and a request that waited for the end of another's stream would be late."""
 
 PERMIT_RETRY = seconds(1)
-"""When to come back if the permit was not free within that time."""
+"""Retry-after time if the permit was not free within that time."""
 
 Result = TypeVar("Result")
 log = logging.getLogger(__name__)
@@ -59,16 +63,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldContent:
-    """A content that is held, for operators.
+    """A quarantined content, as shown to operators.
 
     Parameters
     ----------
     targets : list of TargetId
-        Those that ended under it, the last one last.
+        Targets that ended while they had a request of it, the latest last.
     last_s : float
-        How long ago that was, in seconds.
+        Time since the latest of these ends, in seconds.
     hold_s : float
-        How long it is still held, in seconds.
+        Time until the quarantine ends, in seconds.
     """
 
     content: ContentId
@@ -78,20 +82,20 @@
 
 
 class GuardPeers(Protocol):
-    """What the guard needs of the other hosts."""
+    """Operations on the other hosts that the guard needs."""
 
     def known_to_all(self) -> list[HostId]:
-        """Return live hosts that all hosts know."""
+        """Return the live hosts that are known to all hosts."""
 
     def address_of(self, host_id: HostId) -> Address | None:
-        """Return where a host is reached."""
+        """Return the peer address of a host."""
 
     def announce_content(self, content: ContentId, is_own: bool) -> None:
-        """Have the others told of a content, seen by this host or by another."""
+        """Announce a content to other hosts; `is_own` if this host saw the change."""
 
 
 class ContentGuard:
-    """Lets requests run, or not, by what became of targets that ran the same before."""
+    """Admits or refuses requests by the ends of targets that ran the same content."""
 
     def __init__(
         self,
@@ -112,10 +116,8 @@
         self.run_numbers = itertools.count()
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    # A request on its way.
-
     def refuse_if_held(self, run: GuardedRun) -> None:
-        """Refuse a request whose content is held."""
+        """Refuse a request whose content is quarantined."""
         now = self.clock.monotonic()
         remaining = self.quarantine.remaining_hold(run.content, now)
         if not remaining:
@@ -128,12 +130,12 @@
         raise RequestRefusedError(not_run_refusal(Reason.QUARANTINED, text, remaining))
 
     async def may_run(self, run: GuardedRun) -> bool:
-        """Return whether a request may run now; after False, look at all anew.
+        """Return whether a request may run now; after False, choose its target again.
 
         Raises
         ------
         RequestRefusedError
-            If others like it kept the permit for too long.
+            If other runs of its content held the permit for too long.
         """
         content = run.content
         if not self.quarantine.is_suspect(content) or run.permit:
@@ -141,7 +143,7 @@
         permit = f"{self.me}/{next(self.run_numbers)}"
         if await self.is_permitted(permit, content):
             run.permit = permit
-            # What the giver knows may be news here.
+            # The issuer's reply may have reported an end that quarantines the content.
             return not self.quarantine.remaining_hold(content, self.clock.monotonic())
         run.permit_waits += 1
         if run.permit_waits * PERMIT_POLL_S > MAX_PERMIT_WAIT_S:
@@ -150,30 +152,30 @@
         return False
 
     def not_permitted_refusal(self, run: GuardedRun) -> Refusal:
-        """Return the refusal of a request that waited for another like it."""
+        """Return the refusal of a request that got no permit in time."""
         if run.may_have_run:
             return answer_lost_refusal()
         text = "a target ended under a request like it, and another like it runs now"
         return not_run_refusal(Reason.QUARANTINED, text, PERMIT_RETRY)
 
-    async def wait_for_verdict(self, run: GuardedRun, within_s: float) -> bool:
-        """Wait until it is known whether the last target ended under a request.
+    async def wait_for_end_check(self, run: GuardedRun, within_s: float) -> bool:
+        """Wait until the probe of a request's last target is complete.
 
         Returns
         -------
         bool
-            Whether it is known to live.
+            Whether the target is known to be alive, or no probe was started.
         """
-        verdict, run.target_end_check = run.target_end_check, None
-        if verdict is None:
+        check, run.target_end_check = run.target_end_check, None
+        if check is None:
             return True
-        known, _ = await asyncio.wait((verdict,), timeout=max(0.0, within_s))
-        return bool(known) and not verdict.result()
+        known, _ = await asyncio.wait((check,), timeout=max(0.0, within_s))
+        return bool(known) and not check.result()
 
     def handle_broken_connection(
         self, run: GuardedRun, target: Target, incarnation: int, ran_s: float
     ) -> None:
-        """Take that a request's connection broke; nobody's answer waits for more."""
+        """Start the probe of a target at which a request's connection broke."""
         now = self.clock.monotonic()
         interrupted = InterruptedRequest(
             run.request_id, run.content, target, incarnation, ran_s, now
@@ -181,35 +183,35 @@
         run.target_end_check = self.start_task(self.check_target_end(interrupted))
 
     async def check_target_end(self, interrupted: InterruptedRequest) -> bool:
-        """Find out whether the target ended, and count that against the content."""
+        """Probe whether a target ended, and record the end against the content."""
         has_ended = await self.end_detector.has_ended_during(interrupted)
         if has_ended:
             self.record_target_end(interrupted)
         return has_ended
 
     def apply_catalogue(self, catalogue: Catalogue) -> None:
-        """Count ends of targets that show by their later starts."""
+        """Record ends of targets that later starts in the catalogue reveal."""
         for interrupted in self.end_detector.find_restarted(
             catalogue, self.clock.monotonic()
         ):
             self.record_target_end(interrupted)
 
     def record_target_end(self, interrupted: InterruptedRequest) -> None:
-        """Count a target's end against the content of a request that was there."""
+        """Record a target's end against the content of a request that it had."""
         now = self.clock.monotonic()
         end = TargetEnd(interrupted.target.target_id, interrupted.incarnation, now)
         if self.quarantine.record_target_end(interrupted.content, end, now):
             self.publish_change(interrupted.content, is_own=True)
 
     def record_answer(self, content: ContentId) -> None:
-        """Take that a request was answered: it ends no target."""
+        """Clear a content of suspicion, since a request of it was answered."""
         now = self.clock.monotonic()
         if self.quarantine.clear_content(content, now, now):
             log.info("content cleared", extra={"content": content})
             self.fleet.announce_content(content, is_own=True)
 
     def lift_quarantine(self, content: ContentId) -> bool:
-        """Let a content go at an operator's word; return whether it was suspect."""
+        """Lift a quarantine for an operator; return whether the content was suspect."""
         now = self.clock.monotonic()
         is_known = self.quarantine.clear_content(content, now, now)
         log.warning("quarantine lifted", extra={"content": content, "known": is_known})
@@ -218,18 +220,16 @@
         return is_known
 
     def release_permit(self, run: GuardedRun) -> None:
-        """Give a request's permit back once it is known what the run did."""
+        """Return a request's permit in the background, once its probe is complete."""
         if run.permit:
             self.start_task(self.return_permit(run))
 
-    # Permits.
-
     def permit_issuer(self, content: ContentId) -> HostId:
-        """Return the host that gives a content's permits: the same for all hosts."""
+        """Return the host that issues a content's permits, the same on all hosts."""
         return HostId(rank_members(content, self.fleet.known_to_all())[0])
 
     async def is_permitted(self, permit: str, content: ContentId) -> bool:
-        """Ask for the permit to run."""
+        """Request a permit to run and return whether it was granted."""
         now = self.clock.monotonic()
         issuer = self.permit_issuer(content)
         address = self.fleet.address_of(issuer)
@@ -245,7 +245,7 @@
         return reply.is_granted
 
     async def handle_ask_permit(self, request: AskPermit) -> PermitReply:
-        """Give a permit, unless another run has it or the content is held."""
+        """Grant a permit, unless another run has it or the content is quarantined."""
         self.apply_update(request.news)
         content = request.news.content
         now = self.clock.monotonic()
@@ -255,7 +255,7 @@
         return PermitReply(is_granted, content_update(self.quarantine, content, now))
 
     async def return_permit(self, run: GuardedRun) -> None:
-        """Give a permit back, with what the run showed."""
+        """Return a permit to its issuer, with this host's observations."""
         if run.target_end_check is not None:
             await asyncio.wait((run.target_end_check,))
         content, permit = run.content, run.permit
@@ -268,25 +268,23 @@
             await self.peers.call(address, message, PERMIT_CALL_TIMEOUT_S)
 
     async def handle_permit_back(self, message: PermitBack) -> ContentsReply:
-        """Take a permit back."""
+        """Handle the return of a permit."""
         self.apply_update(message.news)
         self.permits.release(message.news.content, message.run)
         return ContentsReply(())
 
-    # News.
-
     def apply_updates(self, contents: Iterable[ContentNews]) -> None:
-        """Take what a peer knows against contents."""
+        """Apply a peer's observations of contents."""
         for news in contents:
             self.apply_update(news)
 
     def apply_update(self, news: ContentNews) -> None:
-        """Take what a peer knows against a content."""
+        """Apply a peer's observations of a content."""
         if apply_content_update(self.quarantine, news, self.clock.monotonic()):
             self.publish_change(news.content, is_own=False)
 
     def publish_change(self, content: ContentId, is_own: bool) -> None:
-        """Log a content that is held from now on, and have peers told."""
+        """Announce a changed content to other hosts; log it if it is quarantined."""
         now = self.clock.monotonic()
         remaining = self.quarantine.remaining_hold(content, now)
         if remaining:
@@ -294,10 +292,8 @@
             log.warning("content quarantined", extra=asdict(held))
         self.fleet.announce_content(content, is_own)
 
-    # For operators.
-
     def held_contents(self) -> list[HeldContent]:
-        """Return the contents that are held."""
+        """Return the quarantined contents, for operators."""
         now = self.clock.monotonic()
         return [
             self.describe_held_content(c, now)
@@ -305,7 +301,7 @@
         ]
 
     def describe_held_content(self, content: ContentId, now: Instant) -> HeldContent:
-        """Return one content that is held."""
+        """Return one quarantined content, for operators."""
         ends = self.quarantine.ends_of(content)
         remaining = self.quarantine.remaining_hold(content, now)
         return HeldContent(
@@ -315,17 +311,15 @@
             round(remaining.total_seconds(), 3),
         )
 
-    # Upkeep.
-
     def start_task(self, work: Coroutine[None, None, Result]) -> asyncio.Task[Result]:
-        """Start work that nobody waits for."""
+        """Start a background task and keep a reference to it."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     def expire(self) -> None:
-        """Forget what is old."""
+        """Drop expired suspicions and permits."""
         now = self.clock.monotonic()
         self.quarantine.expire_suspicions(now)
         self.permits.expire_permits(now)
--- a/packages/daemon/src/sardinequay_daemon/content_messages.py
+++ b/packages/daemon/src/sardinequay_daemon/content_messages.py
@@ -1,6 +1,6 @@
-"""Messages between hosts about contents of requests under suspicion.
+"""Messages between hosts about request contents under suspicion.
 
-Moments travel as ages in seconds.
+Times are sent as ages in seconds.
 """
 
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndSeen:
-    """That a target ended while it had a request of some content.
+    """The end of a target's process while it had a request of a content.
 
     Parameters
     ----------
     incarnation : int
-        The target's start that ended, in Unix milliseconds.
+        When the process that ended was started, in Unix milliseconds.
     age_s : float
-        How long ago, in seconds.
+        Time since the end, in seconds.
     """
 
     target: TargetId
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ContentNews:
-    """What the sender knows against a content of requests.
+    """The sender's observations of a request content.
 
     Parameters
     ----------
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AskPermit:
-    """Asks for leave to run a request of a content under suspicion.
+    """Requests a permit to run a request of a content under suspicion.
 
     Parameters
     ----------
     run : str
-        The attempt, unlike any other in the fleet.
+        Id of the run, unique in the fleet.
     news : ContentNews
-        What the sender knows against the content.
+        The sender's observations of the content.
     """
 
     run: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitReply:
-    """Whether the run may begin, and what the receiver of the question knows."""
+    """Reply to `AskPermit`: whether the run may begin; the issuer's observations."""
 
     is_granted: bool
     news: ContentNews
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitBack:
-    """Gives a permit back, with what the run showed."""
+    """Returns a permit, with the sender's observations after the run."""
 
     run: str
     news: ContentNews
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ContentsTold:
-    """Tells what the sender has seen itself, or asks for what the receiver knows."""
+    """Reports the sender's own observations, or requests all of the receiver's."""
 
     contents: tuple[ContentNews, ...]
     wants_all: bool = False
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ContentsReply:
-    """What the receiver of the question knows; empty if nothing was asked."""
+    """The observations that were requested; empty if none were."""
 
     contents: tuple[ContentNews, ...]
 
--- a/packages/daemon/src/sardinequay_daemon/content_updates.py
+++ b/packages/daemon/src/sardinequay_daemon/content_updates.py
@@ -1,6 +1,6 @@
-"""What hosts tell one another of contents under suspicion, to and from messages.
+"""Conversion of observations of contents to and from messages between hosts.
 
-Moments travel as ages, since no two hosts' monotonic clocks agree.
+Times are sent as ages, since the monotonic clocks of two hosts do not agree.
 """
 
 from sardinequay_core.clock import Instant, seconds
@@ -11,14 +11,14 @@
 
 
 def age_s(at: Instant, now: Instant) -> float:
-    """Return how long ago a moment was, in seconds."""
+    """Return the age of an instant, in seconds."""
     return round((now - at).total_seconds(), 3)
 
 
 def content_update(
     quarantine: Quarantine, content: ContentId, now: Instant
 ) -> ContentNews:
-    """Return what this host knows against a content."""
+    """Return this host's observations of a content, for a message."""
     known = quarantine.suspicions.get(content)
     if known is None:
         return ContentNews(content, ())
@@ -32,7 +32,7 @@
 def apply_content_update(
     quarantine: Quarantine, news: ContentNews, now: Instant
 ) -> bool:
-    """Take what a peer knows against a content; return whether anything is new."""
+    """Apply a peer's observations of a content; return whether any of them is new."""
     is_new = False
     if news.cleared_s is not None:
         is_new = quarantine.clear_content(
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -1,7 +1,8 @@
-"""Dispatching model requests: one engine at a time, resumed, and retried if it is safe.
+"""Dispatch of model requests, with resumed streams and retries where they are safe.
 
-After bytes have left for an engine only an answer that proves "not run" permits another
-engine, unless the request may be repeated and none of its answer was passed on.
+Once bytes were sent to an engine, another engine is tried only if the first one's
+answer proves that it has not run the request, or if the request may be repeated and no
+part of its answer was passed on.
 """
 
 import asyncio
@@ -36,27 +37,27 @@
 MAX_RESUMES = 3
 RESUME_PAUSE_S = 0.05
 MAX_NOT_LOADED = 5
-"""Engines that may say "not loaded" in turn before a request is given up."""
+"""Engines that may answer "not loaded" in turn before a request is refused."""
 TARGET_RETRY_AFTER = timedelta(seconds=1)
 ADAPTER_HEADER = "X-Adapter"
 log = logging.getLogger(__name__)
 
 
 class RetryBudgets:
-    """A budget for each pool."""
+    """Retry budgets by pool."""
 
     def __init__(self, policy: RetryPolicy) -> None:
         self.policy = policy
         self.budgets: dict[PoolName, RetryBudget] = {}
 
     def for_pool(self, pool: PoolName) -> RetryBudget:
-        """Return a pool's budget."""
+        """Return a pool's retry budget, created on first use."""
         return self.budgets.setdefault(pool, RetryBudget(self.policy))
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRun:
-    """One run of a request on one engine, whose stream can be opened again."""
+    """One run of a request on an engine, whose event stream can be resumed."""
 
     engines: HttpEngineClient
     address: Address
@@ -65,7 +66,7 @@
     trace_headers: dict[str, str]
 
     async def start(self) -> AsyncGenerator[EventBatch, None]:
-        """Send the request and yield its events."""
+        """Send the request and yield the answer's events."""
         headers = {
             **self.trace_headers,
             "Content-Type": "application/json",
@@ -90,7 +91,7 @@
                     yield event_batch
 
     async def resume(self, after: int) -> AsyncGenerator[EventBatch, None]:
-        """Open the stream again and yield the events after one."""
+        """Reopen the event stream and yield the events after a given number."""
         async with (
             self.engines.resume_stream(self.address, self.request_id, after) as answer,
             aclosing(read_events(answer)) as event_batches,
@@ -146,18 +147,19 @@
     async def events_with_retries(
         self, request: ModelRequest, progress: Progress, span: Span, run: GuardedRun
     ) -> AsyncGenerator[EventBatch, None]:
-        """Yield events from one engine after another until the answer is whole."""
+        """Yield events, trying engine after engine until the answer is complete."""
         budget = self.budgets.for_pool(request.pool.name)
         budget.record_first_attempt()
         while True:
-            # An engine's end also counts against the request, which would else end one
-            # engine after the other.
-            await self.guard.wait_for_verdict(run, MAX_PROBE_WAIT_S)
+            # The end of the last engine's process also counts against the request,
+            # which could otherwise crash one engine after another.
+            await self.guard.wait_for_end_check(run, MAX_PROBE_WAIT_S)
             self.guard.refuse_if_held(run)
             use = await self.obtain_lease(request, span)
             if not await self.guard.may_run(run):
                 continue
-            # A process that was frozen must not act on a claim that may have expired.
+            # If this process was suspended, its claim on the idempotency key may have
+            # expired; then the request must not be sent.
             if self.leases.clock.monotonic() >= request.envelope.deadline:
                 raise RequestRefusedError(deadline_refusal(progress))
             if not self.leases.begin_request(use):
@@ -182,7 +184,7 @@
                 self.leases.end_request(use)
 
     async def obtain_lease(self, request: ModelRequest, parent: Span) -> AdapterUse:
-        """Obtain a lease on an engine that holds the adapter."""
+        """Obtain a use lease on an engine that holds the adapter."""
         envelope = request.envelope
         leased = self.leases.best_lease(request.adapter)
         if leased is not None:
@@ -199,7 +201,7 @@
     async def run_on_engine(
         self, use: AdapterUse, request: ModelRequest, progress: Progress, parent: Span
     ) -> AsyncGenerator[EventBatch, None]:
-        """Yield events from one engine; have it stop if they are not all wanted."""
+        """Yield events from one engine; cancel the run there if it is left early."""
         address = self.leases.targets[use.target].address
         request_id = run_id(request, progress)
         finished = False
@@ -235,7 +237,7 @@
     async def events_with_resume(
         self, run: EngineRun, progress: Progress
     ) -> AsyncGenerator[EventBatch, None]:
-        """Yield the events of one run, opening its stream again when it breaks."""
+        """Yield the events of one run, resuming its stream if the connection breaks."""
         resumes = 0
         source = run.start()
         while True:
@@ -265,7 +267,7 @@
         error: TargetError,
         budget: RetryBudget,
     ) -> None:
-        """Permit another attempt by returning, or raise the request's failure."""
+        """Return if another attempt is permitted, else raise the request's failure."""
         self.journal.record(
             request.envelope.request_id, "failed", engine=use.target, error=str(error)
         )
@@ -286,29 +288,29 @@
 
 
 def run_id(request: ModelRequest, progress: Progress) -> str:
-    """Return the id of one run on an engine.
+    """Return a unique id for one run on an engine.
 
-    It is unlike any other's, since callers may choose one request id twice.
+    The request id alone is not unique, since callers may use one twice.
     """
     nonce = f"{getrandbits(64):016x}"
     return f"{request.envelope.request_id}.{progress.attempts}-{nonce}"
 
 
 def check_event_order(event_batch: EventBatch, last: int) -> None:
-    """Refuse events that leave a gap or repeat what was passed on."""
+    """Raise `TargetError` if events leave a gap or repeat ones that were passed on."""
     if event_batch.first_id and event_batch.first_id != last + 1:
         detail = f"event {event_batch.first_id} after {last}"
         raise TargetError(TargetFault.BROKEN, detail)
 
 
 def wrong_adapter_refusal(ran: str | None) -> Refusal:
-    """Return the refusal of an answer by another adapter than the one named."""
+    """Return the refusal of an answer that another adapter produced."""
     text = f"the engine ran {ran!r} instead of the adapter that was named"
     return Refusal(Reason.WRONG_ADAPTER, Outcome.RAN, text)
 
 
 def final_engine_refusal(error: TargetError, progress: Progress) -> Refusal:
-    """Return the final answer after a failed attempt that is not repeated."""
+    """Return the refusal after a failed attempt that is not retried."""
     if progress.last_event:
         return Refusal(Reason.ANSWER_LOST, Outcome.RAN, f"answer lost: {error}")
     if progress.may_have_run:
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -1,7 +1,8 @@
-"""Tells other hosts of contents under suspicion, where hosts exchange no digests.
+"""Replication of contents under suspicion among hosts that exchange no digests.
 
-What this host saw itself goes at once to every host: that is rare and small. What it
-missed, while it was cut off or not yet started, it asks one host after the other for.
+A host sends its own observations to every other host at once, since they are rare and
+small. Observations that it missed while it was partitioned or not yet started, it pulls
+from other hosts, chosen at random.
 """
 
 import asyncio
@@ -21,14 +22,16 @@
 from .peers import PeerClient
 
 BATCH_DELAY_S = 0.02
-"""All requests that were on a target that ended are told of in one message."""
+"""Delay before observations are sent, in seconds, so that all requests that an ended
+target had go into one message."""
 
 PULL_PERIOD_S = 1.0
-"""How often a host asks another for all that it knows: mostly nothing."""
+"""Period at which a host pulls all observations of another one, in seconds; usually
+there are none."""
 
 
 class QuarantineReplicator:
-    """Tells and asks; implements what the guard needs of the other hosts."""
+    """Sends and pulls observations of contents; implements `GuardPeers`."""
 
     def __init__(
         self,
@@ -48,33 +51,29 @@
         self.has_unsent = asyncio.Event()
         self.send_tasks: set[asyncio.Task[None]] = set()
 
-    # For the guard.
-
     def known_to_all(self) -> list[HostId]:
         """Return the live hosts of this data centre."""
         return [m.host_id for m in self.membership.live_members.value]
 
     def address_of(self, host_id: HostId) -> Address | None:
-        """Return where a live host of this data centre is reached."""
+        """Return the peer address of a live host of this data centre."""
         live = {m.host_id: m.address for m in self.membership.live_members.value}
         return live.get(host_id)
 
     def announce_content(self, content: ContentId, is_own: bool) -> None:
-        """Have all hosts told of what this one saw."""
+        """Queue a content for sending to all hosts, if this host saw the change."""
         if is_own:
             self.unsent.add(content)
             self.has_unsent.set()
 
-    # Tasks.
-
     async def run(self) -> None:
-        """Tell and ask, for good."""
+        """Run the tasks that send and pull observations."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.send_updates())
             group.create_task(run_periodically(PULL_PERIOD_S, self.pull_from_peer))
 
     async def send_updates(self) -> None:
-        """Tell all hosts whenever there is something to tell."""
+        """Send queued observations to all other hosts as soon as there are any."""
         while True:
             await self.has_unsent.wait()
             await asyncio.sleep(BATCH_DELAY_S)
@@ -87,18 +86,18 @@
                 task.add_done_callback(self.send_tasks.discard)
 
     def other_addresses(self) -> list[Address]:
-        """Return where all other hosts are reached, of all data centres."""
+        """Return the peer addresses of all other hosts, of all data centres."""
         me = self.membership.membership.self_member.address
         local_addresses = {m.address for m in self.membership.live_members.value}
         remote_addresses = {h.peer_address for h in self.membership.remote_hosts()}
         return sorted((local_addresses | remote_addresses) - {me})
 
     async def send_to(self, address: Address, message: ContentsTold) -> None:
-        """Tell one host; one that misses it asks."""
+        """Send observations to one host; a host that misses them pulls them later."""
         await self.peers.call(address, message)
 
     async def pull_from_peer(self) -> None:
-        """Ask any host for all that it knows."""
+        """Pull all observations of a host chosen at random."""
         others = self.other_addresses()
         if not others:
             return
@@ -109,12 +108,12 @@
             self.received.on_next(reply.contents)
 
     async def handle_contents_told(self, message: ContentsTold) -> ContentsReply:
-        """Take what a host tells, and answer what it asks."""
+        """Apply a host's observations; reply with this host's if it requests them."""
         self.received.on_next(message.contents)
         known = self.quarantine.suspicions if message.wants_all else ()
         return ContentsReply(self.content_updates(known))
 
     def content_updates(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
-        """Return what is known against some contents."""
+        """Return this host's observations of some contents."""
         now = self.clock.monotonic()
         return tuple(content_update(self.quarantine, c, now) for c in sorted(contents))
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -1,4 +1,4 @@
-"""Serves one request: attempt after attempt, as far as failures permit."""
+"""Relay one request: try targets until one answers or no retry is permitted."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 
 
 class Relay:
-    """Brings requests to targets and their answers back."""
+    """Sends requests to targets and passes the answers on to the callers."""
 
     def __init__(self, parts: RelayDependencies, guard: ContentGuard) -> None:
         self.parts = parts
@@ -32,14 +32,14 @@
         self.target_picker = TargetPicker(parts)
 
     async def serve(self, exchange: RelayExchange, sink: AnswerSink) -> None:
-        """Serve a request.
+        """Try targets until one answers, and pass the answer to a sink.
 
         Raises
         ------
         RequestRefusedError
-            If it ends without an answer of a target.
+            If no target answered the request.
         AnswerCutOffError
-            If its answer had begun and was not completed.
+            If the answer had begun and cannot be completed.
         """
         self.state.repeat_budget(exchange.pool).record_request(self.clock.monotonic())
         try:
@@ -53,9 +53,10 @@
     ) -> None:
         """Try one target after another until one has answered."""
         while True:
-            # A target's end also counts against the request: left to the judgement of
-            # targets, one that ends whatever runs it would go on to the next.
-            await self.wait_for_verdict(exchange)
+            # The end of the last target's process also counts against the request. If
+            # only the target's health counted, a request that crashes each target
+            # would go on to the next one.
+            await self.wait_for_end_check(exchange)
             self.guard.refuse_if_held(exchange.guarded_run)
             target = await self.target_picker.choose(exchange)
             if not await self.guard.may_run(exchange.guarded_run):
@@ -72,7 +73,7 @@
     def record_end(
         self, exchange: RelayExchange, target: TargetId, end: AttemptEnd
     ) -> None:
-        """Take how an attempt at a target failed."""
+        """Record how an attempt at a target failed."""
         exchange.attempts_so_far = exchange.attempts_so_far.with_attempt(end)
         exchange.guarded_run.may_have_run = exchange.attempts_so_far.runs > 0
         exchange.tried |= {target}
@@ -82,24 +83,25 @@
     async def resend(
         self, lost_attempt: Attempt, sink: AnswerSink
     ) -> AttemptEnd | None:
-        """Send what a kept connection lost to the same target over a new one.
+        """Resend a request over a new connection after a reused one broke.
 
-        Both sends are one of the runs that the route permits: they reach one target.
+        Both sends go to the same target and count as one of the runs that the route
+        permits.
         """
         exchange = lost_attempt.exchange
         exchange.guarded_run.may_have_run = True
         time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
-        if not await self.guard.wait_for_verdict(exchange.guarded_run, time_left_s):
-            lost_attempt.record_verdict(AttemptResult.FAILED)
+        if not await self.guard.wait_for_end_check(exchange.guarded_run, time_left_s):
+            lost_attempt.record_result(AttemptResult.FAILED)
             return AttemptEnd.MAY_HAVE_RUN
         if not await self.guard.may_run(exchange.guarded_run):
             return AttemptEnd.MAY_HAVE_RUN
         now = self.clock.monotonic()
-        use = self.repeat_use(exchange, now)
-        if exchange.time_left(now) <= ZERO or not use.has_room:
+        usage = self.repeat_usage(exchange, now)
+        if exchange.time_left(now) <= ZERO or not usage.has_room:
             return AttemptEnd.MAY_HAVE_RUN
         self.log_retry_decision(
-            exchange, AttemptEnd.LOST_ON_REUSED_CONNECTION, RetryDecision.RETRY, use
+            exchange, AttemptEnd.LOST_ON_REUSED_CONNECTION, RetryDecision.RETRY, usage
         )
         exchange.begin_repeat(self.state.repeat_budget(exchange.pool))
         second_attempt = Attempt(
@@ -108,10 +110,10 @@
         end = await self.run_attempt(second_attempt, sink)
         return AttemptEnd.MAY_HAVE_RUN if end is not None else None
 
-    async def wait_for_verdict(self, exchange: RelayExchange) -> None:
-        """Wait until it is known whether the last target ended under a request."""
+    async def wait_for_end_check(self, exchange: RelayExchange) -> None:
+        """Wait until the probe of the last target is complete, up to the deadline."""
         time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
-        await self.guard.wait_for_verdict(exchange.guarded_run, time_left_s)
+        await self.guard.wait_for_end_check(exchange.guarded_run, time_left_s)
         if (
             exchange.attempts_so_far.runs
             and exchange.time_left(self.clock.monotonic()) <= ZERO
@@ -121,28 +123,28 @@
     async def allow_retry_or_raise(
         self, exchange: RelayExchange, end: AttemptEnd
     ) -> None:
-        """Permit another attempt by returning, or raise the request's end."""
+        """Return if another attempt is permitted, else raise the request's failure."""
         pause_s = 0.0
         if end is AttemptEnd.REJECTED:
             pause_s = self.target_picker.retry_pause_s(exchange)
         now = self.clock.monotonic()
-        use = self.repeat_use(exchange, now)
-        within_budget = end is AttemptEnd.NOT_SENT or use.has_room
+        usage = self.repeat_usage(exchange, now)
+        within_budget = end is AttemptEnd.NOT_SENT or usage.has_room
         route = exchange.route
         if (
             exchange.answer_started
             and route.repetition is not Repetition.RESUMABLE_STREAM
         ):
             raise AnswerCutOffError
-        step = decide_retry(
+        decision = decide_retry(
             route.repetition,
             route.max_runs,
             exchange.attempts_so_far,
             exchange.time_left(now),
             within_budget,
         )
-        self.log_retry_decision(exchange, end, step, use)
-        if step is RetryDecision.RETRY:
+        self.log_retry_decision(exchange, end, decision, usage)
+        if decision is RetryDecision.RETRY:
             if end is not AttemptEnd.NOT_SENT:
                 exchange.begin_repeat(self.state.repeat_budget(exchange.pool))
             if end is AttemptEnd.REJECTED:
@@ -150,10 +152,10 @@
             return
         if exchange.answer_started:
             raise AnswerCutOffError
-        raise RequestRefusedError(self.final_refusal(step, within_budget))
+        raise RequestRefusedError(self.final_refusal(decision, within_budget))
 
-    def repeat_use(self, exchange: RelayExchange, now: Instant) -> RepeatUsage:
-        """Return what of this host's share of repeats at a pool is used."""
+    def repeat_usage(self, exchange: RelayExchange, now: Instant) -> RepeatUsage:
+        """Return how much of this host's share of a pool's retry budget is used."""
         return self.state.repeat_budget(exchange.pool).current_usage(
             self.state.fleet_size.estimated_hosts(), now
         )
@@ -162,11 +164,11 @@
         self,
         exchange: RelayExchange,
         end: AttemptEnd,
-        step: RetryDecision,
-        use: RepeatUsage,
+        decision: RetryDecision,
+        usage: RepeatUsage,
     ) -> None:
-        """Log whether another attempt may follow, and from what that was decided."""
-        is_permitted = step is RetryDecision.RETRY
+        """Log whether another attempt is permitted, and what that depends on."""
+        is_permitted = decision is RetryDecision.RETRY
         label = "yes" if is_permitted else "no"
         self.parts.metrics.repeats.inc({"pool": exchange.pool, "permitted": label})
         log.info(
@@ -176,17 +178,17 @@
                 "pool": exchange.pool,
                 "end": end.value,
                 "permitted": is_permitted,
-                "requests": use.requests,
-                "repeats": use.repeats,
-                "allowed": round(use.allowed, 2),
-                "hosts": use.hosts,
+                "requests": usage.requests,
+                "repeats": usage.repeats,
+                "allowed": round(usage.allowed, 2),
+                "hosts": usage.hosts,
                 "hosts_age_s": round(self.state.fleet.hosts_age_s(), 2),
             },
         )
 
-    def final_refusal(self, step: RetryDecision, within_budget: bool) -> Refusal:
-        """Return the answer to a request whose attempts are over."""
-        if step is RetryDecision.GIVE_UP_MAY_HAVE_RUN:
+    def final_refusal(self, decision: RetryDecision, within_budget: bool) -> Refusal:
+        """Return the refusal of a request that no target answered."""
+        if decision is RetryDecision.GIVE_UP_MAY_HAVE_RUN:
             return answer_lost_refusal()
         text = "no target took the request"
         if not within_budget:
@@ -197,7 +199,7 @@
     async def run_attempt(
         self, attempt: Attempt, sink: AnswerSink
     ) -> AttemptEnd | None:
-        """Send a request to one target; return how that failed, or None."""
+        """Make one attempt; return how it failed, or None once it was answered."""
         exchange, published = attempt.exchange, attempt.published
         attempt.begin_accounting()
         try:
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -1,4 +1,4 @@
-"""Forwarding to plain services: method, headers, body and status pass through."""
+"""Forwarding to plain services; method, headers, body and status pass through."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from .tracing import Tracing
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
-"""Methods that may be repeated unless a key says otherwise (RFC 9110, 9.2.2)."""
+"""Methods that may be repeated (RFC 9110, 9.2.2) if there is no idempotency key."""
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -63,7 +63,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Return whether running it twice does no harm."""
+        """Return whether the request may run twice."""
         return self.method in IDEMPOTENT_METHODS and not self.envelope.key
 
 
@@ -100,22 +100,22 @@
         self.avoided: dict[TargetId, Instant] = {}
 
     def apply_roster(self, roster: Roster) -> None:
-        """Take the list; targets that leave get no new work from now on."""
+        """Replace the roster; targets that are leaving get no new requests."""
         self.roster = roster
 
     def forward(
         self, request: ServiceRequest, progress: Progress, span: Span
     ) -> ForwardedRequest:
-        """Return the way of one request to a target and of its answer back."""
+        """Return a context manager that sends a request and yields the answer."""
         return ForwardedRequest(self, request, progress, span)
 
     def count_in_flight(self, target: Target, change: int) -> None:
-        """Count a request in or out at a target."""
+        """Change the number of this host's requests in flight at a target."""
         name = target.target_id
         self.in_flight[name] = self.in_flight.get(name, 0) + change
 
     def choose(self, request: ServiceRequest) -> Target:
-        """Return the live target with the fewest of our requests."""
+        """Return the live target with the fewest of this host's requests in flight."""
         now = self.clock.monotonic()
         live = [
             t
@@ -140,7 +140,7 @@
         progress: Progress,
         error: TargetError,
     ) -> None:
-        """Permit another attempt by returning, or raise the request's failure."""
+        """Return if another attempt is permitted, else raise the request's failure."""
         self.avoided[target.target_id] = self.clock.monotonic() + AVOID_DURATION
         self.journal.record(
             request.envelope.request_id,
@@ -155,11 +155,11 @@
     async def send(
         self, target: Target, request: ServiceRequest, span: Span, is_first: bool
     ) -> aiohttp.ClientResponse:
-        """Send a request to one target and return its answer, yet to be read.
+        """Send a request to one target and return its answer, whose body is unread.
 
-        What must not be repeated goes over a connection of its own: a pooled one may
-        have gone silent, and then nobody could tell whether the request arrived. So
-        does a further attempt, which a second broken connection must not cost.
+        A request that must not be repeated gets a new connection: a pooled one may be
+        dead, and then it is unknown whether the request arrived. A retry gets a new
+        one, too, so that it is not lost to a second dead connection.
         """
         may_reuse_connection = request.is_repeatable and is_first
         session = self.session if may_reuse_connection else self.fresh_session
@@ -177,7 +177,7 @@
             )
 
     def headers(self, request: ServiceRequest, span: Span) -> CIMultiDict[str]:
-        """Return the headers to pass on, and the trace's."""
+        """Return the headers to pass on, with the request id and the trace context."""
         headers = end_to_end_headers(request.headers)
         headers.popall("Authorization", None)
         headers["X-Request-Id"] = request.envelope.request_id
@@ -186,10 +186,10 @@
 
 
 class ForwardedRequest:
-    """One request on its way; a context that yields the target's answer.
+    """One forwarded request, a context manager that yields the target's answer.
 
-    Entering raises `RequestRefusedError` if no target gives an answer; leaving settles
-    the key.
+    Entering raises `RequestRefusedError` if no target answers. Leaving reports the
+    outcome to the guards of the idempotency key, if the request has one.
     """
 
     def __init__(
@@ -216,7 +216,7 @@
         return (self.forwarder.clock.monotonic() - self.sent_at).total_seconds()
 
     async def __aenter__(self) -> aiohttp.ClientResponse:
-        """Claim the key, and send the request until a target answers."""
+        """Claim the idempotency key and try targets until one answers."""
         claimer, envelope = self.forwarder.claimer, self.request.envelope
         self.claim = await claimer.claim_request_key(envelope, self.span)
         try:
@@ -231,7 +231,7 @@
     async def __aexit__(
         self, kind: object, error: BaseException | None, _: object
     ) -> None:
-        """Settle the key and give the connection back, or close a broken one."""
+        """Settle the claim, then release the connection or close it after an error."""
         assert self.answer is not None
         assert self.target is not None
         self.settle_claim(ran=error is None)
@@ -250,7 +250,7 @@
             raise RequestRefusedError(lost) from error
 
     def settle_claim(self, ran: bool) -> None:
-        """Tell the guards what became of a claimed request."""
+        """Report the outcome of a claimed request to the guards of its key."""
         if self.claim is not None:
             outcome = Outcome.RAN if ran else self.progress.outcome
             self.forwarder.claimer.settle_claim(self.claim, outcome)
@@ -262,14 +262,15 @@
         budget.record_first_attempt()
         guard, run = forwarder.guard, self.run
         while True:
-            # A target's end also counts against the request, which would else end one
-            # target after the other.
-            await guard.wait_for_verdict(run, MAX_PROBE_WAIT_S)
+            # The end of the last target's process also counts against the request,
+            # which could otherwise crash one target after another.
+            await guard.wait_for_end_check(run, MAX_PROBE_WAIT_S)
             guard.refuse_if_held(run)
             target = forwarder.choose(request)
             if not await guard.may_run(run):
                 continue
-            # A process that was frozen must not act on a claim that may have expired.
+            # If this process was suspended, its claim on the idempotency key may have
+            # expired; then the request must not be sent.
             if forwarder.clock.monotonic() >= request.envelope.deadline:
                 raise RequestRefusedError(deadline_refusal(progress))
             progress.begin_attempt()
@@ -297,7 +298,7 @@
 
 
 def end_to_end_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """Return the headers that are not about one connection only."""
+    """Return the end-to-end headers, without those for a single connection."""
     passed: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         if name.lower() not in HOP_BY_HOP:
@@ -306,7 +307,7 @@
 
 
 def final_service_refusal(error: TargetError, progress: Progress) -> Refusal:
-    """Return the final answer after a failed attempt that is not repeated."""
+    """Return the refusal after a failed attempt that is not retried."""
     if progress.may_have_run:
         text = f"the service's answer was lost: {error}"
         return Refusal(Reason.TARGET_FAILED, Outcome.UNKNOWN, text)
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -1,8 +1,8 @@
-"""Finds out whether a target at which a request's connection broke has ended.
+"""Detection of targets whose process ended while it had a request.
 
-Connections also break where a target gives up one answer, or a link is harmed. So the
-target is asked whether it lives (`target_probe`); and if it seemed to, a later start of
-it that shows up in the store soon after tells that it had ended all the same.
+A broken connection alone does not show this: a target may abort one answer, or a link
+may fail. So the target is probed (`target_probe`). If the probe found it alive, a later
+start of it that appears in the store soon after still shows that it had ended.
 """
 
 import asyncio
@@ -17,14 +17,16 @@
 from sardinequay_core.roster import Target
 
 PROBE_DELAY_S = 0.02
-"""A process that ends closes its connections and its listener one after the other."""
+"""Delay before a probe, in seconds: a process that ends closes its connections and its
+listening socket one after the other."""
 
 RESTART_VISIBLE_WITHIN = seconds(4)
-"""A target that starts again tells the store with its first entry, some heartbeats
-after it ended. A later start has other reasons."""
+"""Time within which the store lists the restart of a target that ended: its first entry
+appears some heartbeats after the end. A later start has other reasons."""
 
 MAX_PRESUMED_ALIVE = 256
-"""Broken requests that are kept for that; the oldest go first."""
+"""Number of interrupted requests kept to compare with later starts of their targets;
+the oldest are dropped first."""
 
 AliveCheck = Callable[[Target, int], Awaitable[bool]]
 log = logging.getLogger(__name__)
@@ -37,9 +39,10 @@
     Parameters
     ----------
     incarnation : int
-        The target's start that had it, in Unix milliseconds; 0 if it does not say.
+        When the target process that had the request started, in Unix milliseconds; 0
+        if unknown.
     ran_s : float
-        For how long the request had been there, in seconds.
+        How long the request had been at the target, in seconds.
     at : timedelta
         When the connection broke.
     """
@@ -53,17 +56,17 @@
 
 
 class TargetEndDetector:
-    """Asks targets whether they live after requests broke there, once for all of them.
+    """Probes targets at which requests were interrupted, once for concurrent ones.
 
     Parameters
     ----------
     is_alive : callable
-        Returns whether the start of a target that had a request still lives.
+        Returns whether the incarnation of a target that had a request still runs.
     is_live : callable
         Returns whether a target is listed and not about to leave. One that leaves may
-        end while it has requests; none of them is at fault.
+        end while it has requests, and none of them is the cause.
     record_end : callable
-        Counts that a target of a pool ended.
+        Counts an ended target of a pool.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
         )
 
     async def has_ended_during(self, interrupted: InterruptedRequest) -> bool:
-        """Return whether a target ended, unplanned, while it had a request."""
+        """Return whether a target ended unplanned while it had a request."""
         target = interrupted.target
         if not self.is_live(target.target_id):
             return False
@@ -101,18 +104,18 @@
     def find_restarted(
         self, catalogue: Catalogue, now: Instant
     ) -> list[InterruptedRequest]:
-        """Return requests whose targets had ended, by what the store lists now."""
+        """Remove and return the requests whose targets have since restarted."""
         since = now - RESTART_VISIBLE_WITHIN
         while self.presumed_alive and self.presumed_alive[0].at < since:
             self.presumed_alive.popleft()
-        shown = [b for b in self.presumed_alive if has_started_again(b, catalogue)]
-        for interrupted in shown:
+        restarted = [b for b in self.presumed_alive if is_restart_listed(b, catalogue)]
+        for interrupted in restarted:
             self.presumed_alive.remove(interrupted)
             self.log_target_end(interrupted)
-        return shown
+        return restarted
 
     async def probe_end(self, target: Target, incarnation: int) -> bool:
-        """Return whether a start of a target has ended."""
+        """Probe a target and return whether an incarnation of it has ended."""
         await asyncio.sleep(PROBE_DELAY_S)
         has_ended = not await self.is_alive(target, incarnation)
         if has_ended:
@@ -120,7 +123,7 @@
         return has_ended
 
     def log_target_end(self, interrupted: InterruptedRequest) -> None:
-        """Log that a target ended under a request."""
+        """Log that a target ended while it had a request."""
         log.warning(
             "target ended",
             extra={
@@ -133,8 +136,8 @@
         )
 
 
-def has_started_again(interrupted: InterruptedRequest, catalogue: Catalogue) -> bool:
-    """Return whether a later start of a request's target is listed."""
+def is_restart_listed(interrupted: InterruptedRequest, catalogue: Catalogue) -> bool:
+    """Return whether the catalogue lists a later start of a request's target."""
     target = interrupted.target
     listed = catalogue.targets.get(target.target_id)
     if listed is not None:
--- a/packages/daemon/src/sardinequay_daemon/target_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/target_probe.py
@@ -1,8 +1,9 @@
-"""Finds out whether a target's process lives after a request's connection broke there.
+"""Probe of a target: whether its process still runs after a request was interrupted.
 
-An address that takes connections proves little: a supervisor, a gateway or a parent
-process may own the socket of a worker that has ended. So the target is asked about
-itself, too, and what it says is weighed against what else explains it.
+An address that accepts connections proves little: a supervisor, a gateway or a parent
+process may own the socket of a worker that has ended. So the target's status is
+queried, too. A refused or unanswered query counts as a sign that the process ended,
+unless the target is known to be busy.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,7 +15,7 @@
 
 
 class ProbeResult(Enum):
-    """What a target shows when it is asked about itself."""
+    """The result of a query of a target's status."""
 
     HEALTHY = "sound"
     RESTARTED = "another_start"
@@ -24,32 +25,32 @@
 
 
 class StatusProbe(Protocol):
-    """Asks a target about itself."""
+    """Queries a target's status."""
 
     async def probe_status(
         self, target: Target, incarnation: int, health_path: str
     ) -> ProbeResult:
-        """Return what a target shows of the start that had a request.
+        """Query whether the incarnation of a target that had a request still runs.
 
         Parameters
         ----------
         health_path : str
-            Where a plain service tells its health; empty if it does not.
+            Path of a plain service's health endpoint; empty if it has none.
         """
 
 
 class TargetProbe:
-    """Weighs what a target shows.
+    """Decides whether a target is alive, by connection, status and load.
 
     Parameters
     ----------
     accepts : callable
-        Returns whether something takes connections at an address.
+        Returns whether connections to an address are accepted and stay open.
     is_busy : callable
-        Returns whether a target is known to have all its places taken: then it refuses,
-        or keeps waiting, whoever asks.
+        Returns whether all slots of a target are known to be taken: then it refuses or
+        delays status queries, too.
     health_path : callable
-        Returns where the services of a pool tell their health.
+        Returns the path of the health endpoint of a pool's services.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self.health_path = health_path
 
     async def is_alive(self, target: Target, incarnation: int) -> bool:
-        """Return whether the start of a target that had a request still lives."""
+        """Return whether the incarnation of a target that had a request still runs."""
         if not await self.accepts(target.address):
             return False
         path = self.health_path(target.pool)
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -1,4 +1,4 @@
-"""Hosts of a fleet that stop a request which ends targets, without sockets."""
+"""Content guards of a fleet against requests that crash targets, without sockets."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
 
 
 class FakeEndDetector:
-    """Says of each target that it ended, unless told otherwise."""
+    """Reports each target as ended, unless `has_ended` is False."""
 
     has_ended = True
 
@@ -44,7 +44,7 @@
 
 @dataclass
 class Fleet:
-    """A host's view of the fleet, in which all others live."""
+    """Fake `GuardPeers` in which all hosts are live by default."""
 
     announced: int = 0
     alive: list[HostId] = field(default_factory=lambda: list(HOSTS))
@@ -61,7 +61,7 @@
 
 @dataclass
 class Net:
-    """Brings messages to the other hosts' guards, or loses them."""
+    """Fake network that delivers messages to guards, or loses them if `is_cut`."""
 
     guards: list[ContentGuard] = field(default_factory=list)
     is_cut: bool = False
@@ -95,14 +95,14 @@
 
 
 async def end_target_under_request(guard: ContentGuard, name: str) -> None:
-    """Let a target end under a request, and the host learn of it."""
+    """Break a request's connection to a target and wait until its end is recorded."""
     sent = run()
     guard.handle_broken_connection(sent, target(name), 1, 0.1)
-    await guard.wait_for_verdict(sent, 5.0)
+    await guard.wait_for_end_check(sent, 5.0)
 
 
 def issuing_guard(net: Net) -> ContentGuard:
-    """Return the guard that gives the permits of the content."""
+    """Return the guard of the host that issues the content's permits."""
     return net.guards[HOSTS.index(net.guards[0].permit_issuer(FATAL))]
 
 
@@ -184,7 +184,7 @@
     guard.release_permit(sent)
     while guard.tasks:
         await asyncio.gather(*guard.tasks)
-    # The next host has not heard of the second end: the giver tells it.
+    # The other host does not know of the second end; the issuer's reply reports it.
     assert not other.quarantine.remaining_hold(FATAL, clock.monotonic())
     assert not await other.may_run(run())
     assert other.quarantine.remaining_hold(FATAL, clock.monotonic())
--- a/packages/daemon/tests/test_quarantine_replicator.py
+++ b/packages/daemon/tests/test_quarantine_replicator.py
@@ -1,4 +1,4 @@
-"""Telling all hosts of contents under suspicion, where hosts exchange no digests."""
+"""Replication of contents under suspicion among hosts that exchange no digests."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -38,13 +38,13 @@
 
 @dataclass
 class View:
-    """The membership: of itself."""
+    """Fake record of this host's own membership."""
 
-    me: Member
+    self_member: Member
 
 
 class Membership:
-    """Two hosts live here, a third elsewhere."""
+    """Fake membership: two live hosts in this data centre, a third in another one."""
 
     def __init__(self, me: int) -> None:
         self.membership = View(member(me))
@@ -57,7 +57,7 @@
 
 @dataclass
 class Net:
-    """Brings messages to the other hosts, or loses them."""
+    """Fake network that delivers messages, or loses them if `is_cut`."""
 
     replicators: dict[Address, QuarantineReplicator] = field(default_factory=dict)
     messages: int = 0
@@ -88,7 +88,7 @@
 
 
 def record_two_ends(replicator: QuarantineReplicator) -> None:
-    """See two targets end under a content."""
+    """Record the ends of two targets against a content, and announce it."""
     now = replicator.clock.monotonic()
     for number in (1, 2):
         end = TargetEnd(TargetId(f"e{number}"), 0, now)
@@ -97,7 +97,7 @@
 
 
 async def run_send_updates(net: Net, replicator: QuarantineReplicator) -> None:
-    """Let a host tell what it has to, then stop it."""
+    """Run a host's sending task until its queue is empty, then cancel it."""
     task = asyncio.create_task(replicator.send_updates())
     while replicator.has_unsent.is_set() or not net.messages:
         await asyncio.sleep(0.005)
--- a/packages/daemon/tests/test_target_end_detector.py
+++ b/packages/daemon/tests/test_target_end_detector.py
@@ -1,4 +1,4 @@
-"""Whether a target has ended, or only one answer broke."""
+"""Detection of ended targets, as opposed to single broken answers."""
 
 import asyncio
 from dataclasses import replace
@@ -39,7 +39,7 @@
 
 
 class FakeAliveCheck:
-    """Counts questions; `is_up` is the answer."""
+    """Counts the checks, and returns `is_up`."""
 
     def __init__(self) -> None:
         self.is_up = False
@@ -115,7 +115,7 @@
 
 
 class FakeStatusProbe:
-    """Shows a sign."""
+    """Returns a fixed result."""
 
     def __init__(self, sign: ProbeResult) -> None:
         self.sign = sign
