--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -1,4 +1,4 @@
-"""One request on its way, and where its answer goes."""
+"""The state of one request in the relay, and the sink of its answer."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -22,31 +22,33 @@
 FIRST_EVENT_FLOOR_S = 2.0
 FIRST_EVENT_GOALS = 4.0
 FIRST_EVENT_PAUSES = 8.0
-"""Callers leave a stream after a silence of the longest of: two seconds, four times the
-goal, eight times the longest pause. Waiting longer for a first event helps nobody."""
+"""Callers abandon a stream after a silence of the longest of: two seconds, four times
+the route's goal, eight times its longest pause. A later first event is useless."""
 
 ANSWER_MARGIN = seconds(0.03)
-"""Kept back of a request's time so that a refusal still reaches the caller."""
+"""Reserved at the end of a request's time, so that a refusal arrives in time."""
 
 
 @dataclass(slots=True)
 class RelayExchange:
-    """One request on its way.
+    """One request in the relay, with its attempts so far.
+
+    A repeat is an arrival of a request at a target beyond the first one.
 
     Parameters
     ----------
     deadline : timedelta
         The earlier of the caller's and the route's, on this host's monotonic clock.
     guarded_run : GuardedRun
-        The request as far as it concerns whether its content may run.
+        The request's record for the content guard.
     organisation : Organisation or None
-        Who asks, where that is known.
+        The organisation that sent the request, if known.
     tried : frozenset
         Targets that failed or rejected the request.
     rejections : Counter
         How often each target rejected the request.
     repeat : RepeatBudget or None
-        Where the attempt that is under way counts as a repeat.
+        Budget that counts the attempt in flight as a repeat; None if it is not one.
     """
 
     terms: RequestTerms
@@ -70,33 +72,33 @@
 
     @property
     def priority(self) -> int:
-        """Return the request's rank, 0 first: its organisation's before its route's."""
+        """Return the priority, 0 first; the organisation's takes precedence."""
         organisation = self.organisation
         if organisation is not None and organisation.priority is not None:
             return organisation.priority
         return self.route.priority
 
     def begin_repeat(self, budget: RepeatBudget) -> None:
-        """Count the next attempt as a repeat that is under way."""
+        """Count the next attempt in a retry budget, as a repeat in flight."""
         budget.record_permitted()
         self.repeat = budget
 
     def end_repeat(self, now: Instant) -> None:
-        """Take that a repeat that was under way has arrived, or will not any more."""
+        """Record that the repeat in flight has arrived or will not arrive."""
         if self.repeat is not None:
             self.repeat.record_arrival(now)
             self.repeat = None
 
     def time_left(self, now: Instant) -> timedelta:
-        """Return the time that is left for an answer of this host's own."""
+        """Return the time left until this host must send an answer of its own."""
         return self.deadline - now - ANSWER_MARGIN
 
     def waited_s(self, now: Instant) -> float:
-        """Return how long ago the request came, in seconds."""
+        """Return the time since the request arrived, in seconds."""
         return (now - self.arrived).total_seconds()
 
     def first_event_left_s(self, now: Instant) -> float:
-        """Return how long waiting for a first event helps, in seconds."""
+        """Return how long waiting for a first event is still useful, in seconds."""
         left_s = self.time_left(now).total_seconds()
         if not self.route.repetition.is_stream or self.answer_started:
             return left_s
@@ -123,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerSink:
-    """Where an answer goes: its head first, then its bytes as they come."""
+    """Callbacks that pass an answer on: its head first, then its body in chunks."""
 
     begin_answer: BeginAnswer
     write_body: WriteAnswer
--- a/packages/daemon/src/sardinequay_daemon/load_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -1,4 +1,7 @@
-"""Asks the host that orders an engine for an adapter."""
+"""Load requests and adapter reports to the keepers of engines.
+
+The keeper of a data centre is the host that orders its engines to load adapters.
+"""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -17,19 +20,19 @@
 )
 
 REPLY_SLACK_S = 0.2
-"""What an answer may take beyond the wait that it was asked for."""
+"""Time that a reply may take beyond the wait stated in the request, in seconds."""
 
 
 @dataclass(slots=True)
 class LoadRequestClient:
-    """Asks for adapters."""
+    """Sends load requests and adapter reports to keepers."""
 
     state: RelayState
     peers: PeerClient
     report_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def request_load(self, message: WantAdapter) -> WantReply:
-        """Ask whoever orders the engine now."""
+        """Request an adapter load from an engine's keeper and return its reply."""
         published = self.state.catalogue.targets.get(message.target)
         if published is None:
             return WantReply(False, "the engine is gone")
@@ -51,7 +54,7 @@
         return WantReply(False, f"no answer: {answer}")
 
     def report_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
-        """Tell that an adapter fell idle or came into use, if it did."""
+        """Report an adapter that came into use or fell idle; skip counts above one."""
         orders = self.state.orders
         if orders is None or count > 1:
             return
@@ -59,7 +62,7 @@
         self.report_in_background(target, UseChanged(orders.me, use))
 
     def report_missing(self, published: PublishedTarget, adapter: AdapterRef) -> None:
-        """Tell that an engine denies to have an adapter."""
+        """Report that an engine stated that it does not hold an adapter."""
         target = published.target.target_id
         missing = AdapterMissing(target, adapter, published.incarnation)
         self.report_in_background(target, missing)
@@ -67,7 +70,7 @@
     def report_in_background(
         self, target: TargetId, message: AdapterMissing | UseChanged
     ) -> None:
-        """Tell whoever orders an engine, without waiting for the answer."""
+        """Send a report to an engine's keeper without waiting for the reply."""
         task = asyncio.create_task(self.send_report(target, message))
         self.report_tasks.add(task)
         task.add_done_callback(self.report_tasks.discard)
@@ -75,7 +78,7 @@
     async def send_report(
         self, target: TargetId, message: AdapterMissing | UseChanged
     ) -> None:
-        """Tell whoever orders an engine."""
+        """Send a report to an engine's keeper, if one is known."""
         published = self.state.catalogue.targets.get(target)
         orders = self.state.orders
         if published is None or orders is None:
--- a/packages/daemon/src/sardinequay_daemon/relay_state.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_state.py
@@ -1,7 +1,8 @@
-"""What decisions about requests are made from, in one place on one host.
+"""The state of one host by which it chooses targets for requests.
 
-Everything here is read and changed by direct calls between two awaits, because a choice
-and the counting of what was chosen must not be parted by another request's.
+It is read and changed by direct calls, without an ``await`` between the choice of a
+target and the counting of the request there: otherwise another request could choose in
+between, by counts that lack the first one.
 """
 
 from collections.abc import Iterable
@@ -33,21 +34,21 @@
 from .serving_ports import RequestTerms
 
 GATHERING_PERIODS = 4
-"""Exchanges within which hosts notice the loss of a hub and tell the next one: two that
-fail, and two with the new one."""
+"""Digest periods within which hosts detect the loss of a hub and send digests to the
+next one: two exchanges that fail, and two with the new hub."""
 
 FIRST_VERSION = "1"
-"""The version of an adapter for which none was published."""
+"""Version assumed for an adapter of which none is published."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineKeeper:
-    """The host that orders a data centre's engines.
+    """The keeper of a data centre: the host that orders its engines to load adapters.
 
     Parameters
     ----------
     orders_in_s : float
-        In how long it may begin, in seconds.
+        Time until it may send orders, in seconds.
     """
 
     host_id: HostId
@@ -57,16 +58,21 @@
 
 @dataclass(slots=True)
 class RelayState:
-    """The state, and views of it for one request.
+    """The catalogue, the load and health of targets, and the adapters on engines.
+
+    Hosts exchange digests of what each one knows. In a small fleet (a mesh) each host
+    gets the digests of all others. In a large fleet a hub per data centre combines
+    them, and the other hosts get one digest over the whole fleet from it.
 
     Parameters
     ----------
     fleet_view_hub : HostId or None
-        The hub that told what all other hosts have, if one did last.
+        The hub whose digest over all other hosts is in use; None while this host
+        combines the digests of single hosts and data centres.
     fleet_view_at : timedelta
-        When it did.
+        When that hub's last digest arrived.
     repeat_slack_from : timedelta
-        When this host has its share of the slack of repeats.
+        When this host may use its share of the slack of the retry budgets.
     """
 
     data_centre: str
@@ -90,14 +96,12 @@
     quotas: FleetQuotas = field(init=False)
 
     def __post_init__(self) -> None:
-        """Open the book of quotas."""
+        """Create the parts that depend on the fleet and the clock."""
         self.fleet_size = FleetSize(self.fleet, self.clock)
         self.quotas = FleetQuotas(self.fleet_size, self.clock, self.random.random)
 
-    # What comes in.
-
     def apply_catalogue(self, catalogue: Catalogue) -> None:
-        """Take what the store publishes, and forget targets that are gone."""
+        """Replace the catalogue; drop the state of targets that left or restarted."""
         before, self.catalogue = self.catalogue, catalogue
         for target_id, published in catalogue.targets.items():
             previous = before.targets.get(target_id)
@@ -109,13 +113,13 @@
         self.residency.prune_unlisted(known)
 
     def forget_incarnation(self, target_id: TargetId) -> None:
-        """Drop what was learned of an earlier start of a target."""
+        """Drop the state of an earlier incarnation of a target."""
         self.health.forget_target(target_id)
         self.loads.forget_target(target_id)
         self.uses.forget_target(target_id)
 
     def apply_digest(self, received: ReceivedDigest) -> None:
-        """Take a peer's share of load, its uses of adapters, and what engines hold."""
+        """Apply a peer's digest: load, adapter uses and engines' holdings."""
         digest = received.digest
         self.loads.has_fleet_pace = not self.fleet.is_mesh
         self.loads.peer_expiry = max(
@@ -132,15 +136,15 @@
             self.apply_holdings(holdings, received.received_at)
 
     def receives_host_digests(self) -> bool:
-        """Return whether this host hears others' parts, not their sum from a hub."""
+        """Return whether this host combines peers' digests, not a hub's sum."""
         return self.fleet.is_mesh or self.fleet.is_hub()
 
     def apply_host_digest(self, received: ReceivedDigest) -> None:
-        """Take the part of one host, or of the hosts of one data centre."""
+        """Apply a digest of one host, or of all hosts of one data centre."""
         digest, now = received.digest, received.received_at
         host_id = digest.host.host_id
         if self.fleet_view_hub is not None and not self.is_gathering(now):
-            # The sum over all hosts, told until now by a hub, counts this one, too.
+            # The hub's sum over all hosts, used until now, includes this peer.
             self.forget_peer(self.fleet_view_hub)
             self.fleet_view_hub = None
         if digest.scope is DigestScope.DATA_CENTRE:
@@ -153,9 +157,9 @@
         self.uses.replace_peer_counts(host_id, uses)
 
     def is_gathering(self, now: Instant) -> bool:
-        """Return whether this host was no hub until now and knows few hosts' parts.
+        """Return whether this host has just become a hub and lacks hosts' digests.
 
-        It goes by the last hub's sum until each has told its own, and tells no sum.
+        Until they have arrived it uses the last hub's sum and sends no sum of its own.
         """
         if self.fleet_view_hub is None:
             return False
@@ -164,7 +168,7 @@
         )
 
     def apply_fleet_digest(self, received: ReceivedDigest) -> None:
-        """Take from this data centre's hub what all other hosts have and saw."""
+        """Apply the digest over all other hosts from this data centre's hub."""
         digest, now = received.digest, received.received_at
         host_id = digest.host.host_id
         self.fleet_view_hub = host_id
@@ -177,7 +181,7 @@
             self.uses.forget_peer(peer)
 
     def forget_peers_behind(self, hub: Contact) -> None:
-        """Drop the parts of hosts that a data centre's hub speaks for."""
+        """Drop the digests of the single hosts that a hub's digest includes."""
         for host_id in {*self.loads.peers, *self.uses.peers}:
             peer = self.fleet.peers.get(host_id)
             if host_id == hub.host_id or peer is None:
@@ -186,7 +190,7 @@
                 self.forget_peer(host_id)
 
     def apply_holdings(self, holdings: EngineHoldings, now: Instant) -> None:
-        """Take what an engine holds from the host that orders it."""
+        """Apply the adapters that an engine holds, as reported by its keeper."""
         coming = {
             parse_adapter_ref(text).unwrap(): now + seconds(in_s)
             for text, in_s in holdings.coming.items()
@@ -209,7 +213,7 @@
             self.orders.record_peer_holdings(holdings)
 
     def forget_peer(self, host_id: HostId) -> None:
-        """Drop the share of a peer that is gone."""
+        """Drop what a peer contributed to the views of the fleet."""
         self.loads.forget_peer(host_id)
         self.health.tally.forget_peer(host_id)
         self.uses.forget_peer(host_id)
@@ -217,13 +221,13 @@
         self.quotas.remove_peer(host_id)
 
     def adapter_uses(self) -> tuple[AdapterUse, ...]:
-        """Return this host's uses of adapters, for its peers."""
+        """Return this host's request counts by engine and adapter, for its peers."""
         return tuple(AdapterUse(t, a, n) for (t, a), n in self.uses.own.items())
 
     def summed_uses(
         self, hosts: Iterable[HostId], data_centre: str
     ) -> tuple[AdapterUse, ...]:
-        """Return the uses of this host and some peers of a data centre's engines."""
+        """Return adapter uses at a data centre, summed over this host and peers."""
         targets = {
             t
             for t, p in self.catalogue.targets.items()
@@ -233,20 +237,18 @@
         return tuple(AdapterUse(t, a, n) for (t, a), n in summed.items())
 
     def count_hosts(self) -> None:
-        """Count the hosts that live, among which bounds on all of them are divided."""
+        """Count the live hosts, by which fleet-wide limits are divided."""
         self.fleet_size.record_live_hosts()
         self.quotas.update_fleet_share()
 
     def apply_repeat_policy(self, policy: RepeatPolicy) -> None:
-        """Take another bound on further attempts; what was counted stays."""
+        """Replace the policy of the retry budgets; their counts stay."""
         self.repeat_policy = policy
         for budget in self.budgets.values():
             budget.policy = policy
 
-    # What a request sees.
-
     def repeat_budget(self, pool: PoolName) -> RepeatBudget:
-        """Return this host's budget of repeats at a pool."""
+        """Return this host's retry budget for a pool, created on first use."""
         found = self.budgets.get(pool)
         if found is None:
             found = RepeatBudget(self.repeat_policy, self.repeat_slack_from)
@@ -259,11 +261,11 @@
         return AdapterRef(terms.adapter, version)
 
     def keepers(self, data_centres: Iterable[str]) -> dict[str, EngineKeeper]:
-        """Return the hosts that order the engines of data centres, where known."""
+        """Return the keepers of data centres, where they are known."""
         peers = self.fleet.keepers()
         found = {}
         for data_centre in data_centres:
-            keeper = self.own_keeping(data_centre)
+            keeper = self.own_keeper(data_centre)
             peer = peers.get(data_centre)
             if keeper is None and peer is not None:
                 keeper = EngineKeeper(
@@ -273,28 +275,28 @@
                 found[data_centre] = keeper
         return found
 
-    def own_keeping(self, data_centre: str) -> EngineKeeper | None:
-        """Return this host as the one that orders a data centre's engines, if it is."""
+    def own_keeper(self, data_centre: str) -> EngineKeeper | None:
+        """Return this host as the keeper of a data centre, if it is the keeper."""
         orders = self.orders
         if orders is None or data_centre != self.data_centre:
             return None
-        opens_in_s = orders.orders_in_s
-        if opens_in_s == float("inf"):
+        wait_s = orders.orders_in_s
+        if wait_s == float("inf"):
             return None
-        return EngineKeeper(orders.me, opens_in_s, is_self=True)
+        return EngineKeeper(orders.me, wait_s, is_self=True)
 
     def keeper_of(self, data_centre: str) -> EngineKeeper | None:
-        """Return the host that orders a data centre's engines, if one is known."""
+        """Return the keeper of a data centre, if one is known."""
         return self.keepers((data_centre,)).get(data_centre)
 
     def health_path(self, pool: PoolName) -> str:
-        """Return where the services of a pool tell their health; empty if nowhere."""
+        """Return the path of a pool's health endpoint; empty if it has none."""
         config = self.catalogue.config
         listed = config.pools.get(pool) if config is not None else None
         return listed.health_path if listed is not None else ""
 
     def is_busy(self, target_id: TargetId) -> bool:
-        """Return whether a target has all its places taken, as far as is known."""
+        """Return whether all slots of a target are taken, as far as is known."""
         now = self.clock.monotonic()
         listed = self.catalogue.targets.get(target_id)
         if listed is None or self.health.is_full(target_id, now):
--- a/packages/daemon/src/sardinequay_daemon/target_options.py
+++ b/packages/daemon/src/sardinequay_daemon/target_options.py
@@ -1,4 +1,4 @@
-"""Targets as one request may use them: what a choice among them is made from."""
+"""Candidate targets of one request, with the properties that the choice compares."""
 
 from collections.abc import Mapping
 
@@ -15,13 +15,13 @@
 
 
 class TargetOptions:
-    """Views of a host's state for one request."""
+    """Builds a request's candidates from this host's state."""
 
     def __init__(self, state: RelayState) -> None:
         self.state = state
 
     def usable_targets(self, pool: PoolName, now: Instant) -> list[PublishedTarget]:
-        """Return the targets of a pool that requests may go to."""
+        """Return the live targets of a pool whose health permits requests."""
         live = self.state.catalogue.live_targets(pool)
         self.state.health.host_count = self.state.fleet.live_hosts
         usable = self.state.health.usable_targets(
@@ -36,14 +36,15 @@
         excluded: frozenset[TargetId],
         expected_load_s: Mapping[TargetId, float],
     ) -> list[EngineOption]:
-        """Return the engines as a model request may use them.
+        """Return the usable engines of a pool as candidates for a model request.
 
         Parameters
         ----------
         excluded : frozenset
             Engines that failed or rejected the request.
         expected_load_s : mapping
-            How long the adapter would take, in seconds, by what engines' keepers said.
+            Time until the adapter would be loaded on an engine, in seconds, by the
+            keepers' replies to earlier load requests.
         """
         now = self.state.clock.monotonic()
         usable = self.usable_targets(pool, now)
@@ -58,8 +59,8 @@
                 home_ranks[t.target.target_id],
                 keepers.get(t.target.data_centre),
                 now,
-                was_barred=t.target.target_id in excluded,
-                told_s=expected_load_s.get(t.target.target_id),
+                has_failed_request=t.target.target_id in excluded,
+                keeper_estimate_s=expected_load_s.get(t.target.target_id),
             )
             for t in usable
         ]
@@ -71,78 +72,83 @@
         home_rank: int,
         keeper: EngineKeeper | None,
         now: Instant,
-        was_barred: bool,
-        told_s: float | None,
+        has_failed_request: bool,
+        keeper_estimate_s: float | None,
     ) -> EngineOption:
-        """Return one engine as a model request may use it."""
+        """Return one engine as a candidate for a model request."""
         target = published.target
         target_id = target.target_id
         held = self.state.residency.holdings_of(published)
-        holding, ready_in_s = self.holding(published, held, terms, now)
+        adapter_state, loaded_in_s = self.adapter_state(published, held, terms, now)
         config = self.state.catalogue.config
         pool = config.pools[target.pool].engines if config else None
-        places = pool.adapter_capacity(published.models) if pool else 0
+        capacity = pool.adapter_capacity(published.models) if pool else 0
         return EngineOption(
             target=target_id,
-            adapter_state=holding,
+            adapter_state=adapter_state,
             first_event_s=self.state.loads.expected_first_event_s(
                 target_id, terms.prompt_tokens, now
             ),
             is_local=target.data_centre == self.state.data_centre,
-            loaded_in_s=ready_in_s,
-            free_places=places - len(held.adapters) - len(held.coming),
+            loaded_in_s=loaded_in_s,
+            free_places=capacity - len(held.adapters) - len(held.coming),
             idle_adapters=self.idle_adapters(target_id, held),
             queued=held.queued,
             turnover_s=held.turnover_s,
             home_rank=home_rank,
-            # An adapter goes onto an engine that has its model; a request without an
-            # adapter waits for no load.
+            # An adapter can be loaded only on an engine that has its base model. A
+            # request without an adapter needs no load.
             may_load=keeper is not None
             and bool(terms.adapter)
             and terms.model in published.models,
             keeper_wait_s=keeper.orders_in_s if keeper else 0.0,
             is_full=self.state.health.is_full(target_id, now),
-            has_failed_request=was_barred,
-            keeper_estimate_s=told_s,
+            has_failed_request=has_failed_request,
+            keeper_estimate_s=keeper_estimate_s,
         )
 
     def idle_adapters(self, target_id: TargetId, held: HeldAdapters) -> int:
-        """Return how many adapters of an engine no request uses.
+        """Return how many adapters on an engine are not used by any request.
 
-        In a large fleet only the host that orders an engine knows all its uses.
+        In a large fleet only the keeper of an engine knows all uses, so its figure is
+        used there.
         """
-        is_mine = (
+        is_managed_here = (
             self.state.orders is not None
             and target_id in self.state.orders.managed_engines
         )
-        if held.idle is not None and not is_mine and not self.state.fleet.is_mesh:
+        if (
+            held.idle is not None
+            and not is_managed_here
+            and not self.state.fleet.is_mesh
+        ):
             return held.idle
         return self.state.uses.count_idle(target_id, held.adapters)
 
-    def holding(
+    def adapter_state(
         self,
         published: PublishedTarget,
         held: HeldAdapters,
         terms: RequestTerms,
         now: Instant,
     ) -> tuple[AdapterState, float]:
-        """Return whether an engine has what a request needs, and when if it comes."""
+        """Return an engine's state of a request's adapter, and its load time left."""
         if not terms.adapter:
             has_model = not terms.model or terms.model in published.models
             return (AdapterState.RESIDENT if has_model else AdapterState.ABSENT), 0.0
-        wanted = self.state.required_adapter(terms)
-        if self.state.residency.resident_adapter(published, wanted) is not None:
+        required = self.state.required_adapter(terms)
+        if self.state.residency.resident_adapter(published, required) is not None:
             return AdapterState.RESIDENT, 0.0
-        coming_at = self.state.residency.expected_at(published, wanted)
+        coming_at = self.state.residency.expected_at(published, required)
         if coming_at is not None:
             return AdapterState.COMING, max(0.0, (coming_at - now).total_seconds())
-        is_recent = str(wanted) in held.recent
+        is_recent = str(required) in held.recent
         return (AdapterState.RECENT if is_recent else AdapterState.ABSENT), 0.0
 
     def copies_due(self, terms: RequestTerms, engines: int) -> int:
-        """Return on how many engines a request's adapter should be.
+        """Return on how many engines a request's adapter should be loaded.
 
-        In a small fleet the most wanted adapter fits on one.
+        In a small fleet one engine can serve even the most requested adapter.
         """
         if self.state.fleet.is_mesh or not terms.adapter:
             return 1
@@ -153,7 +159,7 @@
     def service_options(
         self, pool: PoolName, tried: frozenset[TargetId]
     ) -> list[ServiceOption]:
-        """Return the targets of a plain service as a request may use them."""
+        """Return the usable targets of a plain service as candidates."""
         now = self.state.clock.monotonic()
         options = []
         for published in self.usable_targets(pool, now):
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -1,4 +1,4 @@
-"""Finds the target for a request's next attempt, waiting for an adapter if need be."""
+"""Choose the target of a request's next attempt, waiting for a load if needed."""
 
 import logging
 from collections.abc import Mapping
@@ -26,52 +26,54 @@
 from .target_options import TargetOptions
 
 REEVALUATE_AFTER_S = 0.4
-"""How long a request waits for one engine before all are compared anew, in seconds: a
-little longer than a load takes. Bound to its first choice it would wait for a place
-while other engines have some."""
+"""How long a request waits for a load on one engine before all engines are compared
+again, in seconds: slightly longer than a load takes. Bound to the engine chosen first,
+a request would wait for an adapter place there while other engines have free ones."""
 
 MAX_FAILED_LOAD_REQUESTS = 4
-"""Wishes for an adapter that may fail before a request is refused."""
+"""Load requests that may fail before the caller's request is refused."""
 
 ASSUMED_QUEUE_WAIT_S = 2.0
-"""Taken for an engine's queue after a wish there failed without saying how long."""
+"""Wait assumed at an engine whose load request failed without an estimate."""
 
 MAX_REJECTIONS_PER_TARGET = 2
-"""How often a target of a plain pool is offered one request: each further arrival costs
-a full one work that serves nobody."""
+"""How often one request is sent to a target of a plain pool that rejects it: each
+further arrival costs a full target work that serves nobody."""
 
 NEXT_TARGET_PAUSE_S = 0.02
-"""Before a request that was rejected is offered to another target, in seconds."""
+"""Pause before a rejected request is sent to another target, in seconds."""
 
 SAME_TARGET_PAUSE_S = 0.1
-"""The same before it is offered to one that rejected it: for so long a target counts as
-full."""
+"""Pause before a rejected request is sent to a target that has rejected it, in seconds:
+a target counts as full for this long."""
 
 RETRY_JITTER_S = 0.25
-"""Callers that are told to come back at one moment come spread over this."""
+"""Upper bound of the random addition to retry-after times, in seconds: callers refused
+at one moment must not all return at one moment."""
 
 NO_TARGET_RETRY = seconds(0.5)
-"""When to come back if no target is known: about a crashed one's restart."""
+"""Retry-after time if no target is live: about the restart time of a crashed one."""
 
 NO_KEEPER_RETRY = seconds(2)
-"""When to come back if nobody may order engines: a successor begins about four seconds
-after the last one was lost, and says when as soon as it is chosen, after one."""
+"""Retry-after time if no keeper may order engines. A successor begins about four
+seconds after the last keeper was lost; it is chosen after about one second, and from
+then on announces when it begins."""
 
 log = logging.getLogger(__name__)
 
 
 class TargetPicker:
-    """Chooses by the state of this host and what keepers of engines answer."""
+    """Chooses targets by this host's state and by keepers' replies to load requests."""
 
     def __init__(self, parts: RelayDependencies) -> None:
         self.state = parts.state
         self.options = TargetOptions(parts.state)
-        self.wants = parts.load_requests
+        self.load_requests = parts.load_requests
         self.metrics = parts.metrics
         self.clock = parts.state.clock
 
     async def choose(self, exchange: RelayExchange) -> PublishedTarget:
-        """Return the target for the next attempt, waiting for an adapter if need be."""
+        """Return the next attempt's target, waiting for an adapter load if needed."""
         config = self.state.catalogue.config
         pool = config.pools.get(exchange.pool) if config else None
         if pool is None or pool.engines is None:
@@ -79,7 +81,7 @@
         return await self.choose_engine(exchange)
 
     def choose_service(self, exchange: RelayExchange) -> PublishedTarget:
-        """Return the target of a plain service with the least to do."""
+        """Return the least loaded target of a plain service."""
         options = self.options.service_options(exchange.pool, exchange.tried)
         found = select_target(options)
         if found is None:
@@ -93,8 +95,9 @@
         Raises
         ------
         RequestRefusedError
-            If each usable target of a plain pool has rejected it often enough. Engines
-            are left to their own choice.
+            If each usable target of a plain pool has rejected the request
+            `MAX_REJECTIONS_PER_TARGET` times. For model requests the choice of an
+            engine handles rejections instead.
         """
         if exchange.terms.model:
             return NEXT_TARGET_PAUSE_S
@@ -114,7 +117,7 @@
         raise RequestRefusedError(not_run_refusal(Reason.TARGET_REFUSED, text, wait))
 
     def no_target_refusal(self, exchange: RelayExchange) -> Refusal:
-        """Return the refusal of a request for which there is no target."""
+        """Return the refusal of a request whose pool has no live target."""
         if exchange.attempts_so_far.runs:
             return answer_lost_refusal()
         text = "no target of the pool is live"
@@ -125,7 +128,7 @@
         )
 
     async def choose_engine(self, exchange: RelayExchange) -> PublishedTarget:
-        """Return the engine for the next attempt, with the adapter on it."""
+        """Return the engine of the next attempt, once it holds the adapter."""
         expected_ready_at: dict[TargetId, Instant] = {}
         failed_requests = 0
         terms = exchange.terms
@@ -139,9 +142,9 @@
                 exchange.tried,
                 seconds_until(expected_ready_at, now),
             )
-            left_s = exchange.first_event_left_s(now)
+            time_left_s = exchange.first_event_left_s(now)
             due = self.options.copies_due(terms, len(options))
-            choice = select_engine(options, left_s, due)
+            choice = select_engine(options, time_left_s, due)
             if isinstance(choice, SendToEngine):
                 self.log_choice(
                     exchange,
@@ -153,9 +156,9 @@
                 return self.state.catalogue.targets[choice.target]
             if not isinstance(choice, LoadOnEngine):
                 raise RequestRefusedError(
-                    self.no_engine_refusal(exchange, choice, left_s)
+                    self.no_engine_refusal(exchange, choice, time_left_s)
                 )
-            reply = await self.wait_for_load(exchange, choice.target, left_s)
+            reply = await self.wait_for_load(exchange, choice.target, time_left_s)
             if reply.is_ready:
                 continue
             now = self.clock.monotonic()
@@ -171,17 +174,20 @@
                     min(seconds_until(expected_ready_at, now).values())
                 )
                 raise RequestRefusedError(
-                    self.no_engine_refusal(exchange, busy, left_s)
+                    self.no_engine_refusal(exchange, busy, time_left_s)
                 )
 
     def no_engine_refusal(
-        self, exchange: RelayExchange, choice: EnginesTooBusy | NoEngine, left_s: float
+        self,
+        exchange: RelayExchange,
+        choice: EnginesTooBusy | NoEngine,
+        time_left_s: float,
     ) -> Refusal:
-        """Return the refusal of a request that no engine can begin in time."""
+        """Return the refusal of a request that no engine can start in time."""
         if exchange.attempts_so_far.runs:
             return answer_lost_refusal()
         if isinstance(choice, EnginesTooBusy):
-            text = f"no engine can begin within {left_s:.2f} s"
+            text = f"no engine can begin within {time_left_s:.2f} s"
             wait = jittered_retry_after(self.state.random, seconds(choice.wait_s))
             return not_run_refusal(Reason.OVERLOADED, text, wait)
         text = "no engine has the adapter, and none can be ordered to load it now"
@@ -192,33 +198,37 @@
         )
 
     async def wait_for_load(
-        self, exchange: RelayExchange, target: TargetId, left_s: float
+        self, exchange: RelayExchange, target: TargetId, time_left_s: float
     ) -> WantReply:
-        """Have an adapter loaded; return whether that went well."""
-        began = self.clock.monotonic()
+        """Request the load of an adapter on an engine and return the keeper's reply."""
+        started_at = self.clock.monotonic()
         adapter_ref = self.state.required_adapter(exchange.terms)
         route = exchange.route
         loads, terms = self.state.loads, exchange.terms
-        reading_s = loads.expected_first_event_s(target, terms.prompt_tokens, began)
-        goal_s = (exchange.arrived + route.goal - began).total_seconds() - reading_s
+        reading_s = loads.expected_first_event_s(
+            target, terms.prompt_tokens, started_at
+        )
+        goal_s = (
+            exchange.arrived + route.goal - started_at
+        ).total_seconds() - reading_s
         request = WantAdapter(
             target,
             adapter_ref,
             request_worth(exchange.priority),
             goal_s,
-            left_s * MAX_WAIT_SHARE,
-            exchange.waited_s(began),
+            time_left_s * MAX_WAIT_SHARE,
+            exchange.waited_s(started_at),
             REEVALUATE_AFTER_S,
         )
-        # Its prompt counts there as work that waits. Uncounted, prompts that wait for
-        # adapters all go to the engine that looks idle, and move on when their loads
-        # are there, which then serve nobody.
+        # The prompt counts as waiting work at the engine. Otherwise all prompts that
+        # wait for adapters would go to the engine that looks idle, and move to other
+        # engines once their adapters are loaded: loads that then serve nobody.
         loads.record_dispatch(target, terms.prompt_tokens)
         try:
-            reply = await self.wants.request_load(request)
+            reply = await self.load_requests.request_load(request)
         finally:
             loads.record_end(target, terms.prompt_tokens, had_first_event=False)
-        elapsed_s = (self.clock.monotonic() - began).total_seconds()
+        elapsed_s = (self.clock.monotonic() - started_at).total_seconds()
         self.metrics.load_wait.observe({}, elapsed_s)
         log.info(
             "waited for adapter",
@@ -237,7 +247,7 @@
         return reply
 
     def assume_resident(self, target: TargetId, adapter_ref: AdapterRef) -> None:
-        """Believe the host that orders an engine before its next digest comes."""
+        """Record an adapter as resident ahead of the next digest of its keeper."""
         residency = self.state.residency
         published = self.state.catalogue.targets.get(target)
         if published is None:
@@ -253,7 +263,7 @@
         options: int,
         expected_s: float = 0.0,
     ) -> None:
-        """Log where a request goes and from what that was decided."""
+        """Log the chosen target and the figures behind the choice."""
         share = self.state.loads.total_share(target, self.clock.monotonic())
         log.info(
             "target chosen",
@@ -280,15 +290,15 @@
 def seconds_until(
     due: Mapping[TargetId, Instant], now: Instant
 ) -> dict[TargetId, float]:
-    """Return how long it is until each of some moments, in seconds."""
+    """Return the time from now until each given moment, in seconds, at least 0."""
     return {t: max(0.0, (at - now).total_seconds()) for t, at in due.items()}
 
 
 def request_worth(priority: int) -> float:
-    """Return what an answer is worth against another's: the more urgent, the more."""
+    """Return a request's weight in the load queue; urgent requests weigh more."""
     return 1.0 + 1.0 / (1 + priority)
 
 
 def jittered_retry_after(random: Random, after: timedelta) -> timedelta:
-    """Return when to come back, spread so that callers do not come at once."""
+    """Return a retry-after time with random jitter, so that callers spread out."""
     return after + seconds(random.uniform(0, RETRY_JITTER_S))
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -1,4 +1,4 @@
-"""Choosing at the worst load: asked a bounded number of times, refused with a time."""
+"""Choice of targets under overload: bounded load requests, timed refusals."""
 
 import asyncio
 from collections.abc import Callable
@@ -88,7 +88,7 @@
 
 
 class FakeLoadRequestClient:
-    """Answers wishes as a test prepared."""
+    """Replies to load requests as a test has prepared."""
 
     def __init__(self) -> None:
         self.reply = WantReply(True, "loaded")
@@ -103,7 +103,7 @@
 
 
 class Fleet:
-    """Knows no other host."""
+    """Fake fleet without other hosts."""
 
     live_hosts = 1
     is_mesh = True
@@ -232,7 +232,7 @@
 async def test_request_that_waits_moves_to_an_engine_that_has_room_now(
     picker, load_client, clock
 ):
-    """Replay a queue that got longer: the first engine asked says so after a while."""
+    """Guard against waiting on at an engine whose load queue grew after the choice."""
     load_client.replies = [WantReply(False, "queued", 2.0, is_queued=True)]
     chosen = await picker.choose(exchange(clock, "a9"))
     first, second = (ask.target for ask in load_client.requests)
@@ -272,7 +272,10 @@
 async def test_prompt_counts_where_it_waits_for_its_adapter(
     picker, load_client, clock, state
 ):
-    """Replay a burst of long prompts for rare adapters: each waits elsewhere."""
+    """Guard against a burst of long prompts for rare adapters on one engine.
+
+    All of them would choose it if prompts that wait for adapters did not count there.
+    """
     unread_tokens_seen = []
 
     def record_unread_tokens() -> None:
