--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -1,12 +1,12 @@
 """Protection of targets from requests that crash one target after another.
 
-Requests are grouped by their content, a digest of what they ask for. A content is under
-suspicion once a target's process ended while it had such a request; after more ends it
-is quarantined. `quarantine` decides that, and this module feeds it with targets' ends
-and with other hosts' observations. Requests of a content under suspicion run one at a
-time in the fleet, by permits from one live host that all hosts determine alike. If that
-host does not answer, each host issues its own permits, so that callers of a partitioned
-host are still served.
+Requests are grouped by their content: a digest of method, host, path, caller and body.
+A content is under suspicion once a target's process ended while it had such a request;
+after more ends it is quarantined. `quarantine` decides that, and this module feeds it
+with targets' ends and with other hosts' observations. Requests of a content under
+suspicion run one at a time in the fleet, by permits from one live host that all hosts
+determine alike. If that host does not answer, each host issues its own permits, so that
+callers of a partitioned host are still served.
 """
 
 import asyncio
@@ -47,8 +47,8 @@
 longer than a probe takes."""
 
 PERMIT_POLL_S = 0.05
-"""Interval at which a request asks again for a permit that another run has, in seconds:
-about the run time of a plain request."""
+"""Interval at which a permit that another run has is requested again, in seconds: about
+the run time of a plain request."""
 
 MAX_PERMIT_WAIT_S = 0.5
 """How long a request waits for a permit, in seconds: requests that crash targets do so
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -129,7 +129,7 @@
             pause_s = self.target_picker.retry_pause_s(exchange)
         now = self.clock.monotonic()
         usage = self.repeat_usage(exchange, now)
-        within_budget = end is AttemptEnd.NOT_SENT or usage.has_room
+        is_within_budget = end is AttemptEnd.NOT_SENT or usage.has_room
         route = exchange.route
         if (
             exchange.answer_started
@@ -141,7 +141,7 @@
             route.max_runs,
             exchange.attempts_so_far,
             exchange.time_left(now),
-            within_budget,
+            is_within_budget,
         )
         self.log_retry_decision(exchange, end, decision, usage)
         if decision is RetryDecision.RETRY:
@@ -152,7 +152,7 @@
             return
         if exchange.answer_started:
             raise AnswerCutOffError
-        raise RequestRefusedError(self.final_refusal(decision, within_budget))
+        raise RequestRefusedError(self.final_refusal(decision, is_within_budget))
 
     def repeat_usage(self, exchange: RelayExchange, now: Instant) -> RepeatUsage:
         """Return how much of this host's share of a pool's retry budget is used."""
@@ -186,12 +186,12 @@
             },
         )
 
-    def final_refusal(self, decision: RetryDecision, within_budget: bool) -> Refusal:
+    def final_refusal(self, decision: RetryDecision, is_within_budget: bool) -> Refusal:
         """Return the refusal of a request that no target answered."""
         if decision is RetryDecision.GIVE_UP_MAY_HAVE_RUN:
             return answer_lost_refusal()
         text = "no target took the request"
-        if not within_budget:
+        if not is_within_budget:
             text += ", and the budget for further attempts is spent"
         wait = jittered_retry_after(self.state.random, NO_TARGET_RETRY)
         return not_run_refusal(Reason.TARGET_REFUSED, text, wait)
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -177,7 +177,7 @@
             )
 
     def headers(self, request: ServiceRequest, span: Span) -> CIMultiDict[str]:
-        """Return the headers to pass on, with the request id and the trace context."""
+        """Return the headers for a target, without the caller's token."""
         headers = end_to_end_headers(request.headers)
         headers.popall("Authorization", None)
         headers["X-Request-Id"] = request.envelope.request_id
--- a/packages/daemon/src/sardinequay_daemon/single_send.py
+++ b/packages/daemon/src/sardinequay_daemon/single_send.py
@@ -57,6 +57,9 @@
     ----------
     on_send : callable
         Called when the request is sent.
+
+    Attributes
+    ----------
     is_on_reused_connection : bool
         Whether the request was sent over a connection that had been used before.
     """
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -104,9 +104,9 @@
     def find_restarted(
         self, catalogue: Catalogue, now: Instant
     ) -> list[InterruptedRequest]:
-        """Remove and return the requests whose targets have since restarted."""
-        since = now - RESTART_VISIBLE_WITHIN
-        while self.presumed_alive and self.presumed_alive[0].at < since:
+        """Remove and return the requests whose targets have restarted since."""
+        oldest = now - RESTART_VISIBLE_WITHIN
+        while self.presumed_alive and self.presumed_alive[0].at < oldest:
             self.presumed_alive.popleft()
         restarted = [b for b in self.presumed_alive if is_restart_listed(b, catalogue)]
         for interrupted in restarted:
@@ -137,7 +137,10 @@
 
 
 def is_restart_listed(interrupted: InterruptedRequest, catalogue: Catalogue) -> bool:
-    """Return whether the catalogue lists a later start of a request's target."""
+    """Return whether the catalogue lists a later start of a target.
+
+    Another target of its pool at its address counts as one, too.
+    """
     target = interrupted.target
     listed = catalogue.targets.get(target.target_id)
     if listed is not None:
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -143,8 +143,8 @@
                 seconds_until(expected_ready_at, now),
             )
             time_left_s = exchange.first_event_left_s(now)
-            due = self.options.copies_due(terms, len(options))
-            choice = select_engine(options, time_left_s, due)
+            desired_copies = self.options.copies_due(terms, len(options))
+            choice = select_engine(options, time_left_s, desired_copies)
             if isinstance(choice, SendToEngine):
                 self.log_choice(
                     exchange,
@@ -259,7 +259,7 @@
         self,
         exchange: RelayExchange,
         target: TargetId,
-        why: str,
+        reason: str,
         options: int,
         expected_s: float = 0.0,
     ) -> None:
@@ -272,7 +272,7 @@
                 "target": target,
                 "content": exchange.guarded_run.content,
                 "adapter": exchange.terms.adapter,
-                "why": why,
+                "why": reason,
                 "options": options,
                 "unread_tokens": share.unread_tokens,
                 "running": share.running,
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -164,7 +164,9 @@
 
 async def test_loaded_adapter_is_used_where_it_was_loaded(picker, load_client, clock):
     chosen = await picker.choose(exchange(clock, "a9"))
-    assert [ask.target for ask in load_client.requests] == [chosen.target.target_id]
+    assert [request.target for request in load_client.requests] == [
+        chosen.target.target_id
+    ]
 
 
 async def test_failed_load_requests_are_bounded(picker, load_client, clock):
@@ -235,7 +237,7 @@
     """Guard against waiting on at an engine whose load queue grew after the choice."""
     load_client.replies = [WantReply(False, "queued", 2.0, is_queued=True)]
     chosen = await picker.choose(exchange(clock, "a9"))
-    first, second = (ask.target for ask in load_client.requests)
+    first, second = (request.target for request in load_client.requests)
     assert second != first
     assert chosen.target.target_id == second
 
@@ -246,7 +248,7 @@
     queued = WantReply(False, "queued", 0.05, is_queued=True)
     load_client.replies = [queued] * (MAX_FAILED_LOAD_REQUESTS + 1)
     await picker.choose(exchange(clock, "a9"))
-    assert len({ask.target for ask in load_client.requests}) == 1
+    assert len({request.target for request in load_client.requests}) == 1
 
 
 async def test_queue_that_grew_too_long_refuses_before_the_wait_is_over(
@@ -257,7 +259,7 @@
         await picker.choose(exchange(clock, "a9"))
     assert refused.value.refusal.reason is Reason.OVERLOADED
     assert len(load_client.requests) == 3
-    assert all(ask.look_s < ask.wait_s for ask in load_client.requests)
+    assert all(request.look_s < request.wait_s for request in load_client.requests)
 
 
 async def test_repeated_load_request_carries_the_time_already_waited(
@@ -266,7 +268,9 @@
     load_client.replies = [WantReply(False, "queued", 0.05, is_queued=True)]
     load_client.on_request = lambda: clock.advance(0.4)
     await picker.choose(exchange(clock, "a9"))
-    assert [ask.waited_s for ask in load_client.requests] == pytest.approx([0.0, 0.4])
+    assert [request.waited_s for request in load_client.requests] == pytest.approx(
+        [0.0, 0.4]
+    )
 
 
 async def test_prompt_counts_where_it_waits_for_its_adapter(
@@ -300,7 +304,7 @@
     adapters = ("a5", "a6", "a7")
     waiting = [asyncio.create_task(picker.choose(exchange(clock, a))) for a in adapters]
     await asyncio.sleep(0)
-    assert len({ask.target for ask in load_client.requests}) == 3
+    assert len({request.target for request in load_client.requests}) == 3
     held.set()
     chosen = await asyncio.gather(*waiting)
     assert [c.target.target_id for c in chosen] == [
