--- a/packages/daemon/src/sardinequay_daemon/bounded_log.py
+++ b/packages/daemon/src/sardinequay_daemon/bounded_log.py
@@ -1,7 +1,7 @@
-"""Structured logs on standard output that never block and are bounded.
+"""Structured logs on standard output that never block and are bounded in rate and size.
 
-Each line is one JSON object. Lines beyond a rate, and lines that a slow reader does not
-take, are counted and left out; the count is told in a line of its own.
+Each line is one JSON object. Lines above the rate limit, and lines that a slow reader
+does not read in time, are dropped and counted; a line of its own reports the count.
 """
 
 import logging
@@ -21,11 +21,11 @@
 
 MAX_BURST_LINES = 800.0
 MAX_PENDING_BYTES = 1_048_576
-"""What may wait for a slow reader; some seconds of a busy host's lines."""
+"""Bytes that may be queued for a slow reader: some seconds of a busy host's lines."""
 
 
 class NonBlockingLogHandler(logging.Handler):
-    """Writes lines to a file descriptor without ever waiting for it."""
+    """Writes lines to a non-blocking file descriptor; drops lines it cannot queue."""
 
     def __init__(self, clock: Clock, descriptor: int) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line and write what the descriptor takes."""
+        """Queue a line and write as much as the descriptor accepts."""
         if not self.may_write(record):
             self.left_out_lines += 1
             return
@@ -50,7 +50,7 @@
         self.write_pending()
 
     def may_write(self, record: logging.LogRecord) -> bool:
-        """Return whether a line is within the rate and the space."""
+        """Return whether a line is within the rate limit and the queue size."""
         now = self.clock.monotonic()
         earned = (now - self.refilled_at).total_seconds() * MAX_LINES_PER_S
         self.rate_tokens = min(MAX_BURST_LINES, self.rate_tokens + earned)
@@ -63,7 +63,7 @@
         return True
 
     def left_out_record(self, left_out: int) -> logging.LogRecord:
-        """Return the line that tells how many were left out."""
+        """Return the log record that reports how many lines were dropped."""
         record = logging.LogRecord(
             "log", logging.WARNING, "", 0, "log lines left out", None, None
         )
@@ -77,7 +77,7 @@
         self.pending_bytes += len(line)
 
     def write_pending(self) -> None:
-        """Write waiting lines until the descriptor takes no more."""
+        """Write queued lines until the descriptor accepts no more."""
         while self.pending_lines:
             line = self.pending_lines[0]
             try:
@@ -85,7 +85,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more, and there is nowhere left to say so.
+                # The reader has closed its end, so the error cannot be logged either.
                 self.pending_lines.clear()
                 self.pending_bytes = 0
                 return
@@ -99,7 +99,7 @@
 def configure_bounded_logging(
     clock: Clock, host_id: str, level: str = "INFO"
 ) -> NonBlockingLogHandler:
-    """Send all logs to standard output as JSON, each line naming this host."""
+    """Send all logs to standard output as JSON, with the host id in each line."""
     handler = NonBlockingLogHandler(clock, sys.stdout.fileno())
     handler.setFormatter(
         JsonFormatter(
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -1,4 +1,4 @@
-"""Writes the digests that this host tells its peers, with what is new to each."""
+"""Composition of digests: each peer gets only what it does not have yet."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -20,18 +20,19 @@
 from .store_task import StoreTask
 
 RESEND_HOLDINGS_AFTER = seconds(1)
-"""How long a peer that lost a message believes something old of an engine, at most."""
+"""Time after which holdings of an engine are sent again: the longest time for which a
+peer that lost a digest keeps an old state."""
 
 
 MAX_CONTENTS_PER_DIGEST = 64
-"""Contents of requests in one digest; more follow with the next."""
+"""Maximum number of contents in one digest; further ones follow in the next."""
 
 HoldingsState = tuple[int, int, int, bool | None]
 MemberState = frozenset[tuple[Contact, bool, int]]
 
 
 class DigestWriter:
-    """Knows what each peer was told last."""
+    """Builds digests and tracks what was sent to each peer."""
 
     def __init__(
         self,
@@ -56,10 +57,10 @@
         self.restarted_peers: set[HostId] = set()
 
     def build_digest(self, host_id: HostId) -> Digest:
-        """Return what to tell a peer now."""
+        """Return the next digest for a peer and record what it contains as sent."""
         if host_id in self.fleet.failed_exchanges:
             self.reset_sent_state(host_id)
-        standing = self.store.status()
+        store_status = self.store.status()
         digest = Digest(
             host=self.me,
             is_leaving=self.fleet.is_leaving,
@@ -70,9 +71,9 @@
             holds_lease=self.orders.lease.is_holder,
             orders_in_s=self.orders.orders_in_s,
             up_s=self.fleet.uptime_s(),
-            store_revision=standing.revision,
-            news_revision=standing.news_revision,
-            store_age_s=standing.age_s,
+            store_revision=store_status.revision,
+            news_revision=store_status.news_revision,
+            store_age_s=store_status.age_s,
             has_missed=host_id in self.fleet.failed_exchanges,
             contents=self.unsent_contents(host_id),
         )
@@ -81,7 +82,7 @@
         return self.add_large_fleet_part(digest, host_id)
 
     def add_large_fleet_part(self, digest: Digest, host_id: HostId) -> Digest:
-        """Add what a peer of a large fleet is told."""
+        """Add the part that a peer gets in a large fleet, by both hosts' roles."""
         hub = self.fleet.hub()
         peer = self.fleet.peers.get(host_id)
         if peer is None:
@@ -102,7 +103,7 @@
         return digest
 
     def add_host_part(self, digest: Digest, host_id: HostId) -> Digest:
-        """Add this host's own part."""
+        """Add the state of this host alone."""
         now = self.clock.monotonic()
         loads = self.state.loads
         return replace(
@@ -120,34 +121,34 @@
         )
 
     def add_data_centre_part(self, digest: Digest, peer: Peer) -> Digest:
-        """Add the part of all hosts of this data centre, for another hub."""
+        """Add the summed state of this data centre's hosts, for another hub."""
         now = self.clock.monotonic()
         host_id = peer.contact.host_id
-        here = {p.contact.host_id for p in self.fleet.reporting_peers()}
-        uses = self.state.summed_uses(here, peer.contact.data_centre)
+        near_hosts = {p.contact.host_id for p in self.fleet.reporting_peers()}
+        uses = self.state.summed_uses(near_hosts, peer.contact.data_centre)
         return replace(
             digest,
-            shares=self.state.loads.combined_shares(here, now),
+            shares=self.state.loads.combined_shares(near_hosts, now),
             uses=uses,
             holdings=self.unsent_holdings(host_id, self.orders.recent_holdings(), None),
-            outcomes=self.state.health.tally.summed_outcomes(here, now),
+            outcomes=self.state.health.tally.summed_outcomes(near_hosts, now),
             usage=self.unsent_usage(host_id, DigestScope.DATA_CENTRE),
-            demand=self.demand_for_copies(here, now),
+            demand=self.demand_for_copies(near_hosts, now),
             live_hosts=self.fleet.live_hosts_here(),
         )
 
     def add_fleet_part(self, digest: Digest, host_id: HostId) -> Digest:
-        """Add the part of all others, for a host of this data centre."""
+        """Add the summed state of all other hosts, for a host of this data centre."""
         now = self.clock.monotonic()
         others = self.state.loads.peers.keys() - {host_id}
-        known = (
+        holdings = (
             *self.orders.recent_holdings(),
             *self.orders.peer_holdings_snapshot(now),
         )
         return replace(
             digest,
             shares=self.state.loads.shares_excluding(host_id, now),
-            holdings=self.unsent_holdings(host_id, known, None),
+            holdings=self.unsent_holdings(host_id, holdings, None),
             outcomes=self.state.health.tally.summed_outcomes(others, now),
             usage=self.unsent_usage(host_id, DigestScope.FLEET),
             demand=self.demand_for_copies(others, now),
@@ -158,25 +159,25 @@
         )
 
     def demand_for_copies(self, hosts: Iterable[HostId], now: Instant) -> Demand:
-        """Return the demand of this host and some others that copies depend on."""
+        """Return the summed demand that decides how many copies adapters get."""
         demand = self.state.demand.summed_demand(hosts, now)
         return popular_demand(demand, len(self.state.catalogue.targets))
 
-    def handle_digest(self, heard: ReceivedDigest) -> None:
-        """Notice that a peer started anew, or missed what it was told."""
-        host_id = heard.digest.host.host_id
-        if heard.has_restarted:
+    def handle_digest(self, received: ReceivedDigest) -> None:
+        """Reset the record of sent state when a peer restarted or missed a digest."""
+        host_id = received.digest.host.host_id
+        if received.has_restarted:
             self.handle_peer_restart(host_id)
-        elif heard.digest.has_missed:
+        elif received.digest.has_missed:
             self.reset_sent_state(host_id)
 
     def handle_peer_restart(self, host_id: HostId) -> None:
-        """Have a peer that started anew told all that its last start was told."""
+        """Send a restarted peer all state again, also of engines it may order."""
         self.reset_sent_state(host_id)
         self.restarted_peers.add(host_id)
 
     def reset_sent_state(self, host_id: HostId) -> None:
-        """Have a peer told again what it may have missed."""
+        """Forget what was sent to a peer, so that it is sent again."""
         self.sent_contact_counts.pop(host_id, None)
         self.sent_members.pop(host_id, None)
         self.sent_content_numbers.pop(host_id, None)
@@ -184,24 +185,24 @@
         self.sent_holdings.pop(host_id, None)
 
     def unsent_contacts(self, host_id: HostId) -> tuple[Contact, ...]:
-        """Return the hosts that a peer was not told of yet.
+        """Return the known hosts that were not sent to a peer yet.
 
-        Told whole whenever their number changed, they cost a start the cube of the
-        hosts.
+        Sending all of them whenever their number changes would make the cost of a start
+        grow with the cube of the hosts.
         """
-        first = self.sent_contact_counts.get(host_id, 0)
+        sent_count = self.sent_contact_counts.get(host_id, 0)
         self.sent_contact_counts[host_id] = len(self.fleet.contact_log)
-        return self.fleet.contacts_since(first)
+        return self.fleet.contacts_since(sent_count)
 
     def unsent_contents(self, host_id: HostId) -> tuple[ContentNews, ...]:
-        """Return what is known against contents of which a peer was not told yet.
+        """Return the quarantine state of contents that was not sent to a peer yet.
 
-        Also what others told this host: so it outlives the host that saw it, and a
-        host that starts anew knows it with its first digest.
+        This includes what other hosts reported: the state then outlives the host that
+        saw the target end, and a restarted host has it after its first digest.
         """
         quarantine = self.state.quarantine
-        first = self.sent_content_numbers.get(host_id, 0)
-        changed = quarantine.changed_since(first, MAX_CONTENTS_PER_DIGEST)
+        last_sent = self.sent_content_numbers.get(host_id, 0)
+        changed = quarantine.changed_since(last_sent, MAX_CONTENTS_PER_DIGEST)
         if not changed:
             return ()
         self.sent_content_numbers[host_id] = quarantine.suspicions[
@@ -211,19 +212,19 @@
         return tuple(content_update(quarantine, content, now) for content in changed)
 
     def unsent_usage(self, host_id: HostId, scope: DigestScope) -> UsageCounts:
-        """Return what organisations used where that changed lately; all at first."""
-        book, now = self.state.quotas.ledger, self.clock.monotonic()
+        """Return the usage that changed recently, by organisation; all at first."""
+        ledger, now = self.state.quotas.ledger, self.clock.monotonic()
         is_first = self.sent_usage_scopes.get(host_id) is not scope
         self.sent_usage_scopes[host_id] = scope
-        also = tuple(book.accounts) if is_first else ()
+        always_included = tuple(ledger.accounts) if is_first else ()
         if scope is DigestScope.HOST:
-            return book.usage.own_counts(now, also)
+            return ledger.usage.own_counts(now, always_included)
         if scope is DigestScope.DATA_CENTRE:
-            return book.usage.data_centre_counts(now, also)
-        return book.usage.counts_excluding(host_id, now, also)
+            return ledger.usage.data_centre_counts(now, always_included)
+        return ledger.usage.counts_excluding(host_id, now, always_included)
 
     def unsent_members(self, host_id: HostId) -> tuple[Member, ...] | None:
-        """Return the live hosts here, or None if a peer knows just these."""
+        """Return the live hosts of this data centre; None if a peer has the list."""
         members = self.fleet.live_member_records()
         now_s = self.clock.monotonic().total_seconds()
         state = frozenset(
@@ -237,33 +238,36 @@
     def unsent_holdings(
         self,
         host_id: HostId,
-        known: Iterable[EngineHoldings],
-        again: timedelta | None,
+        candidates: Iterable[EngineHoldings],
+        resend_after: timedelta | None,
     ) -> tuple[EngineHoldings, ...]:
-        """Return what a peer was not told yet of engines.
+        """Return the engine holdings that changed since they were sent to a peer.
 
         Parameters
         ----------
-        again : timedelta or None
-            After how long all is told again, for what was lost on the way; None if the
-            peer says when it missed something.
+        resend_after : timedelta or None
+            Time after which holdings are sent again in case a digest was lost; None if
+            the peer reports missed digests.
         """
         now = self.clock.monotonic()
-        told = self.sent_holdings.setdefault(host_id, {})
-        untold: list[EngineHoldings] = []
+        sent = self.sent_holdings.setdefault(host_id, {})
+        unsent: list[EngineHoldings] = []
         if host_id in self.restarted_peers:
-            # It may order engines again, and forgot which adapters they load fast.
+            # The peer may order engines again, but has lost which adapters the
+            # engines used recently and can load fast.
             self.restarted_peers.discard(host_id)
-            untold += self.orders.peer_holdings_snapshot(now)
-        for holdings in known:
-            # Whether an adapter is idle decides, not how many are: that changes with
-            # each request.
-            has_idle = bool(holdings.idle) if again is None else None
+            unsent += self.orders.peer_holdings_snapshot(now)
+        for holdings in candidates:
+            # Only whether any adapter is idle counts as a change: their number changes
+            # with each request.
+            has_idle = bool(holdings.idle) if resend_after is None else None
             state = (holdings.token, holdings.number, holdings.queued, has_idle)
-            before = told.get(holdings.target)
-            if before is not None and before[0] == state and now < before[1]:
+            last_sent = sent.get(holdings.target)
+            if last_sent is not None and last_sent[0] == state and now < last_sent[1]:
                 continue
-            until = now + again if again is not None else timedelta.max
-            told[holdings.target] = (state, until)
-            untold.append(holdings)
-        return tuple(untold)
+            resend_at = (
+                now + resend_after if resend_after is not None else timedelta.max
+            )
+            sent[holdings.target] = (state, resend_at)
+            unsent.append(holdings)
+        return tuple(unsent)
--- a/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
@@ -1,4 +1,4 @@
-"""The quotas of organisations on one host, fed by what peers tell and by who lives."""
+"""Quotas of organisations, updated by digests and the number of live hosts."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class FleetQuotas:
-    """Keeps the book of quotas up to date.
+    """Updates the quota ledger of this host.
 
     Parameters
     ----------
@@ -29,39 +29,39 @@
         self.ledger = QuotaLedger(draw)
 
     def apply_policy(self, policy: QuotaPolicy) -> None:
-        """Take other bounds on what quotas may be exceeded by."""
+        """Set the policy that bounds by how much quotas may be exceeded."""
         self.ledger.policy = policy
 
     def apply_catalogue(self, before: Catalogue, now: Catalogue) -> None:
-        """Take the quotas of a new version of the configuration."""
+        """Apply the quotas of a new configuration version."""
         if now.config is not None and now.config is not before.config:
             organisations = now.config.organisations or ()
             self.ledger.apply_organisations(organisations, self.clock.monotonic())
 
-    def record_partial_usage(self, heard: ReceivedDigest) -> None:
-        """Take what one host used, or the hosts of one data centre."""
+    def record_partial_usage(self, received: ReceivedDigest) -> None:
+        """Record the usage at one host, or at the hosts of one data centre."""
         self.ledger.apply_report(
-            heard.digest.host.host_id, reported_usage(heard), heard.received_at
+            received.digest.host.host_id, reported_usage(received), received.received_at
         )
 
-    def record_total_usage(self, heard: ReceivedDigest) -> None:
-        """Take from a hub what all other hosts used."""
+    def record_total_usage(self, received: ReceivedDigest) -> None:
+        """Record the usage at all other hosts, as summed by the hub."""
         self.ledger.apply_fleet_report(
-            heard.digest.host.host_id, reported_usage(heard), heard.received_at
+            received.digest.host.host_id, reported_usage(received), received.received_at
         )
 
     def remove_peer(self, host_id: HostId) -> None:
-        """Take that a peer is gone."""
+        """Remove the usage of a peer that is lost."""
         self.ledger.forget_peer(host_id, self.clock.monotonic())
 
     def update_fleet_share(self) -> None:
-        """Take how many hosts live, for the part of quotas that is theirs."""
+        """Update the fraction of quotas that the reachable hosts may admit."""
         self.ledger.apply_share(self.fleet_size.live_fraction(), self.clock.monotonic())
 
 
-def reported_usage(heard: ReceivedDigest) -> ReportedUsage:
-    """Return what a digest tells of organisations' usage."""
-    digest = heard.digest
+def reported_usage(received: ReceivedDigest) -> ReportedUsage:
+    """Return the usage of organisations that a digest reports."""
+    digest = received.digest
     return ReportedUsage(
-        digest.scope, digest.usage, seconds(digest.up_s), heard.has_restarted
+        digest.scope, digest.usage, seconds(digest.up_s), received.has_restarted
     )
--- a/packages/daemon/src/sardinequay_daemon/fleet_size.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many hosts there are, also those that this one does not hear at the moment."""
+"""Estimate of the number of hosts, including hosts that are currently unreachable."""
 
 from sardinequay_core.clock import Clock
 from sardinequay_core.fleet_share import ASSUMED_HOSTS, FleetShare
@@ -8,7 +8,7 @@
 
 
 class FleetSize:
-    """Counts hosts; what all may do together is divided by it."""
+    """Estimates the number of hosts, by which fleet-wide limits are divided."""
 
     def __init__(self, fleet: FleetTask, clock: Clock) -> None:
         self.fleet = fleet
@@ -16,21 +16,23 @@
         self.share = FleetShare()
 
     def record_live_hosts(self) -> None:
-        """Count the hosts that live now."""
+        """Record the current number of live hosts."""
         self.share.record_live_hosts(self.fleet.live_hosts, self.clock.monotonic())
 
     def estimated_hosts(self) -> int:
-        """Return how many hosts lived lately, or are known and may live."""
-        known = 1 + max(len(self.fleet.peers), len(self.fleet.seeds))
-        lately = self.share.recent_hosts(self.fleet.live_hosts, self.assumed_hosts())
-        return max(lately, known)
+        """Return how many hosts were live recently, or are known and may be live."""
+        known_hosts = 1 + max(len(self.fleet.peers), len(self.fleet.seeds))
+        recent_hosts = self.share.recent_hosts(
+            self.fleet.live_hosts, self.assumed_hosts()
+        )
+        return max(recent_hosts, known_hosts)
 
     def live_fraction(self) -> float:
-        """Return the part of all that falls to the hosts in touch."""
+        """Return the fraction of fleet-wide limits that the reachable hosts may use."""
         return self.share.reachable_share(self.fleet.live_hosts, self.assumed_hosts())
 
     def assumed_hosts(self) -> int:
-        """Return how many hosts exist as far as a host knows that has just started."""
+        """Return how many hosts to assume while this one has just started."""
         fleet = self.fleet
         if not fleet.seeds or fleet.uptime_s() > ASSUME_ALONE_AFTER.total_seconds():
             return 1
--- a/packages/daemon/src/sardinequay_daemon/fleet_task.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_task.py
@@ -1,10 +1,11 @@
-"""Knows the other hosts: finds them by seeds, hears digests, tells its own.
+"""Exchange of digests with the other hosts, which are discovered through seeds.
 
 Of each pair the host with the lower id calls, and the reply carries the other's digest,
-so one call serves both ways. In a small fleet each host exchanges digests with all; the
-period grows with the number of hosts. In a large one it does with its hub alone, and a
-hub with the other hubs (`fleet_topology`). While nobody holds the lease of a data
-centre, its hosts look for one another as in a mesh: they are to choose a holder.
+so one call serves both directions. In a small fleet each host exchanges digests with
+all others; the period grows with the number of hosts. In a large fleet a host exchanges
+them with its hub alone, and a hub with the other hubs (`fleet_topology`). While no host
+holds the order lease of a data centre, its hosts contact one another as in a mesh,
+because they must elect a holder.
 """
 
 import asyncio
@@ -28,40 +29,44 @@
 
 UPDATE_MIN_PERIOD_S = 0.02
 UPDATE_MIN_PERIOD_PER_HOST_S = 0.004
-"""News is told to all peers at once, but not more often than this and a little more
-for each host: news of loads comes often, and each telling costs every peer."""
+"""Minimum time between two updates, and its increase for each known host. An update is
+an exchange with all peers ahead of the next period; load changes are frequent, and each
+update costs every peer."""
 
 SEED_PERIOD_S = 0.5
-"""How often seeds are asked while nobody answers, or fewer are known than seeds."""
+"""Time between two rounds of contacting seeds, while no host replies or fewer hosts
+than seeds are known."""
 
 JOIN_SEED_PERIOD_S = 0.1
-"""How often a host that has just started asks seeds that may have started with it."""
+"""The same for a host that has just started; its seeds may have started together with
+it."""
 
 JOIN_DURATION_S = 3.0
 EXCHANGE_TIMEOUT_S = 0.5
-"""Bound on one exchange; hosts of a region answer in a few milliseconds."""
+"""Timeout of one exchange; hosts of a region reply within a few milliseconds."""
 
 HUB_MAX_FAILURES = 2
-"""Exchanges with a hub that fail one after the other until it counts as lost."""
+"""Consecutive failed exchanges with a hub after which it counts as lost."""
 
 REMOTE_CONTACT_RETENTION = seconds(600)
-"""How long the address of a host elsewhere is kept in a large fleet: most are never
-called, and are of use when the hub there is lost."""
+"""Time for which the address of a host in another data centre is kept in a large fleet:
+most are never called, and are needed when the hub there is lost."""
 
 ALL_HOSTS_KNOWN_AFTER_S = 2.0
-"""A host that has been up for so long knows all others: it was told by each of them."""
+"""A host with at least this uptime knows all others, because each has sent it a
+digest."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedDigest:
-    """A digest that came in, and when.
+    """Digest of a peer, and when it was received.
 
     Parameters
     ----------
     has_restarted : bool
-        Whether the peer has started anew since it was heard last, and knows nothing.
+        Whether the peer has restarted since its previous digest and has lost its state.
     """
 
     digest: Digest
@@ -70,10 +75,17 @@
 
 
 class FleetTask(HubTable):
-    """Owns what is known of the other hosts.
+    """Exchanges digests with other hosts and owns the table of peers.
 
-    Hosts of the own data centre are told more often than others: the one that reads the
-    store is among them.
+    Near hosts, those of the own data centre, receive digests more often than far ones:
+    the host that reads the store is among them.
+
+    Parameters
+    ----------
+    peer_retention : timedelta
+        Time for which a silent peer is kept in the table.
+    build_digest : callable
+        Returns the digest to send to a peer.
     """
 
     def __init__(
@@ -102,11 +114,9 @@
         self.probe_counter = itertools.count()
         self.last_hub = HostId("")
 
-    # Telling.
-
     async def run(self) -> None:
-        """Tell peers, for good."""
-        next_seeds = next_near = next_far = next_flush = self.clock.monotonic()
+        """Exchange digests with peers, for good."""
+        next_seeds = next_near = next_far = next_update = self.clock.monotonic()
         while True:
             now = self.clock.monotonic()
             if now >= next_seeds:
@@ -119,41 +129,42 @@
             if now >= next_far:
                 next_far = now + seconds(self.far_period_s())
                 self.exchange_with_far_peers()
-            if self.update_pending.is_set() and now >= next_flush:
-                next_flush = now + seconds(
+            if self.update_pending.is_set() and now >= next_update:
+                next_update = now + seconds(
                     UPDATE_MIN_PERIOD_S + UPDATE_MIN_PERIOD_PER_HOST_S * len(self.peers)
                 )
                 self.update_pending.clear()
                 self.send_updates()
-            await self.wait_until_due(min(next_seeds, next_near, next_far), next_flush)
+            await self.wait_until_due(min(next_seeds, next_near, next_far), next_update)
 
     def seed_period_s(self) -> float:
-        """Return the time until seeds are asked again."""
+        """Return the time until seeds are contacted again, in seconds."""
         is_joining = self.joined_at is None and self.uptime_s() < JOIN_DURATION_S
         return JOIN_SEED_PERIOD_S if is_joining else SEED_PERIOD_S
 
     def far_period_s(self) -> float:
-        """Return the time between two digests to hosts elsewhere, or to the hub."""
+        """Return the time between two digests to far hosts or the hub, in seconds."""
         return (
             self.digest_period_s(is_near=False) if self.is_mesh else self.hub_period_s()
         )
 
     def exchange_with_near_peers(self) -> None:
-        """Exchange digests with the hosts of this data centre, where that is due.
+        """Exchange digests with the hosts of this data centre that are due.
 
-        Who holds the lease says so to those that do not ask: they may not know it yet.
+        A lease holder calls the hosts that do not call it: they may not know yet that
+        it is the holder.
         """
-        near = [p for p in self.peers.values() if self.is_near(p)]
+        near_peers = [p for p in self.peers.values() if self.is_near(p)]
         if not self.is_mesh and self.holds_lease():
-            asking = {p.contact.host_id for p in self.reporting_peers()}
-            for peer in near:
-                if peer.contact.host_id not in asking:
+            reporting_ids = {p.contact.host_id for p in self.reporting_peers()}
+            for peer in near_peers:
+                if peer.contact.host_id not in reporting_ids:
                     self.exchange_with_host(peer.contact)
         elif self.is_mesh or self.lease_holder() is None:
-            self.exchange_with_peers(near)
+            self.exchange_with_peers(near_peers)
 
     def exchange_with_far_peers(self) -> None:
-        """Exchange digests with hosts elsewhere, in a large fleet over the hub."""
+        """Exchange digests with far hosts; in a large fleet through the hub."""
         if self.is_mesh:
             self.exchange_with_peers(
                 p for p in self.peers.values() if not self.is_near(p)
@@ -167,14 +178,14 @@
             self.exchange_with_host(hub)
 
     def log_hub_change(self, hub: Contact) -> None:
-        """Log whom this host takes for its hub, when that changes."""
+        """Log the hub of this host when it changes."""
         if hub.host_id != self.last_hub:
             extra = {"hub": hub.host_id, "before": self.last_hub}
             log.info("hub changed", extra=extra)
             self.last_hub = hub.host_id
 
     def exchange_with_other_hubs(self) -> None:
-        """Exchange digests with each other data centre's hub, or look for one there."""
+        """Exchange digests with each other data centre's hub, or search for it."""
         hubs = {p.contact.data_centre: p for p in self.other_hubs()}
         overdue = self.clock.monotonic() - 2 * seconds(self.hub_period_s())
         for data_centre in sorted({p.contact.data_centre for p in self.peers.values()}):
@@ -190,22 +201,22 @@
                 self.exchange_with_host(hub.contact)
 
     def probe_for_hub(self, data_centre: str) -> None:
-        """Ask the host that was named as the hub there, or else one after the other."""
-        named = self.hub_hints.pop(data_centre, None)
-        if named is not None:
-            self.exchange_with_host(named)
+        """Call the host reported as a data centre's hub, else its hosts in turn."""
+        reported_hub = self.hub_hints.pop(data_centre, None)
+        if reported_hub is not None:
+            self.exchange_with_host(reported_hub)
             return
-        there = sorted(
+        candidates = sorted(
             h for h, p in self.peers.items() if p.contact.data_centre == data_centre
         )
-        chosen = self.peers[there[next(self.probe_counter) % len(there)]]
+        chosen = self.peers[candidates[next(self.probe_counter) % len(candidates)]]
         self.exchange_with_host(chosen.contact)
 
-    async def wait_until_due(self, due: Instant, flush: Instant) -> None:
-        """Wait for the next thing due, or for news that may be told."""
+    async def wait_until_due(self, due: Instant, next_update: Instant) -> None:
+        """Wait until the next exchange is due or an update may be sent."""
         now = self.clock.monotonic()
         if self.update_pending.is_set():
-            await asyncio.sleep(max(0.0, (min(due, flush) - now).total_seconds()))
+            await asyncio.sleep(max(0.0, (min(due, next_update) - now).total_seconds()))
             return
         try:
             async with asyncio.timeout(max(0.0, (due - now).total_seconds())):
@@ -214,9 +225,10 @@
             return
 
     def exchange_with_seeds(self) -> None:
-        """Exchange digests with seeds that are no known, live peers.
+        """Exchange digests with seeds that are not live peers.
 
-        In a large fleet only while no other host here is known to live.
+        In a large fleet this happens only while no other host of this data centre is
+        live.
         """
         if not self.is_mesh and any(self.is_near(p) for p in self.running_peers()):
             return
@@ -226,16 +238,17 @@
                 self.start_exchange(HostId(f"seed {seed}"), seed)
 
     def exchange_with_peers(self, peers: Iterable[Peer]) -> None:
-        """Exchange digests with those of some peers that this host calls."""
+        """Exchange digests with those of the given peers that this host has to call."""
         for peer in tuple(peers):
             host_id = peer.contact.host_id
             if self.me.host_id < host_id or peer.last_heard_at is None:
                 self.exchange_with_host(peer.contact)
 
     def send_updates(self) -> None:
-        """Tell those who are concerned what is new, also peers that call this host.
+        """Send an update to the affected peers, also those that call this host.
 
-        In a large fleet a hub tells the other hubs; the hosts here ask it soon enough.
+        In a large fleet a hub sends it to the other hubs; the hosts of its own data
+        centre call it within one period.
         """
         is_far, self.is_update_for_far = self.is_update_for_far, False
         if not self.is_mesh:
@@ -251,16 +264,16 @@
         self.start_exchange(contact.host_id, parse_address(contact.address).unwrap())
 
     def request_update(self, far: bool) -> None:
-        """Have peers told as soon as that is due: near ones only, or all."""
+        """Schedule an update of near peers or, with `far`, of all peers."""
         self.is_update_for_far = self.is_update_for_far or far
         self.update_pending.set()
 
     def announce_content(self, content: ContentId, is_own: bool) -> None:
-        """Have peers told of a content of requests; digests carry what is known."""
+        """Schedule an update after a content's state changed; digests carry it."""
         self.request_update(far=True)
 
     def start_exchange(self, host_id: HostId, address: Address) -> None:
-        """Start one exchange, unless the last one is still under way."""
+        """Start an exchange, or repeat it once the one under way has ended."""
         if host_id in self.active_exchanges:
             self.repeat_exchanges.add(host_id)
             return
@@ -270,67 +283,65 @@
         task.add_done_callback(self.tasks.discard)
 
     async def exchange_digests(self, host_id: HostId, address: Address) -> None:
-        """Tell one peer and hear its answer."""
+        """Send this host's digest to a peer and handle the digest in the reply."""
         try:
-            answer = await self.peer_client.call(
+            reply = await self.peer_client.call(
                 address, self.build_digest(host_id), EXCHANGE_TIMEOUT_S
             )
         finally:
             self.active_exchanges.discard(host_id)
         if host_id in self.repeat_exchanges:
-            # What was to be told while the exchange was under way is told now.
+            # A change during the exchange may have missed its digest.
             self.repeat_exchanges.discard(host_id)
             self.start_exchange(host_id, address)
-        if isinstance(answer, Success) and isinstance(answer.unwrap(), Digest):
+        if isinstance(reply, Success) and isinstance(reply.unwrap(), Digest):
             self.failed_exchanges.pop(host_id, None)
-            self.handle_digest(answer.unwrap())
+            self.handle_digest(reply.unwrap())
         else:
             self.record_failed_exchange(host_id)
 
     def record_failed_exchange(self, host_id: HostId) -> None:
-        """Take that an exchange failed; a hub that misses several is lost."""
-        misses = self.failed_exchanges[host_id] = (
+        """Count a failed exchange; a hub with several in a row is marked lost."""
+        failures = self.failed_exchanges[host_id] = (
             self.failed_exchanges.get(host_id, 0) + 1
         )
-        if self.is_mesh or misses < HUB_MAX_FAILURES:
+        if self.is_mesh or failures < HUB_MAX_FAILURES:
             return
         peer = self.peers.get(host_id)
         if peer is not None and (peer.is_hub or peer.contact == self.hub()):
-            if misses == HUB_MAX_FAILURES:
+            if failures == HUB_MAX_FAILURES:
                 log.warning("hub lost", extra={"peer": host_id})
             self.mark_lost(host_id)
 
-    # Hearing.
-
     async def answer_digest(self, digest: Digest) -> Digest:
-        """Answer a peer's digest with this host's own."""
+        """Handle a peer's digest and reply with this host's own."""
         self.handle_digest(digest)
         return self.build_digest(digest.host.host_id)
 
     def handle_digest(self, digest: Digest) -> None:
-        """Take a digest."""
+        """Update the table by a digest and publish it to subscribers."""
         now = self.clock.monotonic()
         host_id = digest.host.host_id
         if host_id == self.me.host_id:
             return
         if self.joined_at is None:
             self.joined_at = now
-        known = self.peers.get(host_id)
+        previous = self.peers.get(host_id)
         if (
-            known is None
-            or known.last_heard_at is None
-            or now - known.last_heard_at > self.silence_timeout(known)
+            previous is None
+            or previous.last_heard_at is None
+            or now - previous.last_heard_at > self.silence_timeout(previous)
         ):
             log.info("peer regained", extra={"peer": host_id})
-        if digest.is_leaving and (known is None or not known.is_leaving):
+        if digest.is_leaving and (previous is None or not previous.is_leaving):
             log.info("peer leaves", extra={"peer": host_id})
         leaving_since = now
-        if known is not None and known.is_leaving:
-            leaving_since = known.leaving_since
+        if previous is not None and previous.is_leaving:
+            leaving_since = previous.leaving_since
         self.peers[host_id] = Peer(
             digest.host,
             last_heard_at=now,
-            added_at=known.added_at if known else now,
+            added_at=previous.added_at if previous else now,
             is_leaving=digest.is_leaving,
             holds_lease=digest.holds_lease,
             orders_in_s=digest.orders_in_s,
@@ -347,21 +358,21 @@
         if digest.contacts and digest.up_s > ALL_HOSTS_KNOWN_AFTER_S:
             self.has_received_all_contacts = True
         self.update_near_peer_count()
-        has_restarted = self.has_restarted(known, digest)
+        has_restarted = self.has_restarted(previous, digest)
         self.digests.on_next(ReceivedDigest(digest, now, has_restarted))
 
-    def has_restarted(self, known: Peer | None, digest: Digest) -> bool:
-        """Return whether a peer has started anew since it was heard.
+    def has_restarted(self, previous: Peer | None, digest: Digest) -> bool:
+        """Return whether a peer has restarted since its previous digest.
 
-        Exchanges that cross bring digests out of order: one that was written earlier by
-        less than a call lasts tells of no restart.
+        Exchanges that cross deliver digests out of order: a digest that is older than
+        the previous one by less than an exchange can take does not mean a restart.
         """
-        if known is None or known.up_s_received_at == ZERO:
+        if previous is None or previous.up_s_received_at == ZERO:
             return False
-        return self.peer_uptime_s(known) > digest.up_s + EXCHANGE_TIMEOUT_S
+        return self.peer_uptime_s(previous) > digest.up_s + EXCHANGE_TIMEOUT_S
 
     def apply_hub_fields(self, digest: Digest) -> None:
-        """Take what a digest says of hubs."""
+        """Apply what a digest reports about hubs."""
         sender = digest.host
         if digest.hub is not None and digest.hub != sender:
             self.hub_hints[sender.data_centre] = digest.hub
@@ -370,7 +381,7 @@
             self.apply_hub_notes(digest.notes)
 
     def record_contacts(self, contacts: Iterable[Contact], now: Instant) -> None:
-        """Take hosts that a peer knows."""
+        """Add hosts that a peer knows to the table."""
         for contact in contacts:
             known = self.peers.get(contact.host_id)
             if contact.host_id == self.me.host_id:
@@ -383,37 +394,39 @@
                 self.peers[contact.host_id] = replace(known, contact=contact)
 
     def prune_silent_peers(self, now: Instant) -> None:
-        """Log peers that fell silent, and forget those that stay so."""
+        """Log peers that became silent, and remove those silent for too long."""
         for host_id, peer in tuple(self.peers.items()):
-            silent = now - self.last_sign_of_life(peer)
-            if self.is_expired(peer, silent):
+            silent_for = now - self.last_sign_of_life(peer)
+            if self.is_expired(peer, silent_for):
                 del self.peers[host_id]
                 self.known_contacts.pop(host_id, None)
                 self.update_near_peer_count()
                 self.lost_peers.on_next(host_id)
-            elif peer.store_age_s != float("inf") and silent > self.silence_timeout(
+            elif peer.store_age_s != float("inf") and silent_for > self.silence_timeout(
                 peer
             ):
                 log.warning("peer lost", extra={"peer": host_id})
                 self.peers[host_id] = replace(peer, store_age_s=float("inf"))
                 self.lost_peers.on_next(host_id)
 
-    def is_expired(self, peer: Peer, silent: timedelta) -> bool:
-        """Return whether a peer that has been silent for so long is forgotten."""
-        is_kept = not self.is_mesh and not self.is_near(peer)
-        if silent > (REMOTE_CONTACT_RETENTION if is_kept else self.peer_retention):
+    def is_expired(self, peer: Peer, silent_for: timedelta) -> bool:
+        """Return whether a peer that has been silent for so long is removed."""
+        is_far_contact = not self.is_mesh and not self.is_near(peer)
+        if silent_for > (
+            REMOTE_CONTACT_RETENTION if is_far_contact else self.peer_retention
+        ):
             return True
-        return peer.is_leaving and silent > self.silence_timeout(peer)
+        return peer.is_leaving and silent_for > self.silence_timeout(peer)
 
     def announce_leaving(self) -> None:
-        """Tell those who hear from this host at once that it leaves."""
+        """Announce at once that this host is leaving to the hosts that rely on it."""
         self.is_leaving = True
         self.is_update_for_far = True
         if self.is_mesh:
             self.send_updates()
         elif self.is_hub():
-            told = (*self.reporting_peers(), *self.other_hubs())
-            for peer in told:
+            recipients = (*self.reporting_peers(), *self.other_hubs())
+            for peer in recipients:
                 self.exchange_with_host(peer.contact)
         else:
             self.exchange_with_host(self.hub())
--- a/packages/daemon/src/sardinequay_daemon/host_pages.py
+++ b/packages/daemon/src/sardinequay_daemon/host_pages.py
@@ -1,4 +1,4 @@
-"""What a host shows to operators: metrics, what is in force, and one thing to do."""
+"""HTTP pages for operators: metrics, host status and lifting a quarantine."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 from sardinequay_core.names import ContentId
 
 LIFT_PATH = "/v1/quarantine/{content}"
-"""Removing a content from there lets its requests run again, on all hosts."""
+"""``DELETE`` on this path lifts the quarantine of a content on all hosts."""
 
 LiftQuarantine = Callable[[ContentId], bool]
 
@@ -17,7 +17,7 @@
 def create_status_app(
     registry: Registry, status: Callable[[], dict[str, object]], lift: LiftQuarantine
 ) -> web.Application:
-    """Return the pages ``/metrics`` (text), ``/v1/status`` (JSON) and the lift."""
+    """Return the application: ``/metrics``, ``/v1/status`` and the lift route."""
 
     async def show_metrics(request: web.Request) -> web.Response:
         content, headers = render(registry, [])
@@ -34,11 +34,11 @@
 
 
 def add_lift_route(app: web.Application, lift: LiftQuarantine) -> None:
-    """Let operators lift the quarantine of a content; 404 if it was under none."""
+    """Add the route that lifts a content's quarantine; 404 if there is none."""
 
-    async def answer(request: web.Request) -> web.Response:
+    async def handle_delete(request: web.Request) -> web.Response:
         was_suspect = lift(ContentId(request.match_info["content"]))
         status = 200 if was_suspect else 404
         return web.json_response({"lifted": was_suspect}, status=status)
 
-    app.router.add_delete(LIFT_PATH, answer)
+    app.router.add_delete(LIFT_PATH, handle_delete)
--- a/packages/daemon/src/sardinequay_daemon/hub_table.py
+++ b/packages/daemon/src/sardinequay_daemon/hub_table.py
@@ -1,6 +1,7 @@
-"""Which host of a data centre is its hub, and what hubs tell of other hosts.
+"""Choice of a data centre's hub, and the reports of hubs about other hosts.
 
-Used in large fleets, see `fleet_topology`. No message is sent from here.
+Used in large fleets, where hosts exchange digests through hubs, see `fleet_topology`.
+This module sends no messages.
 """
 
 from collections.abc import Iterable
@@ -15,25 +16,25 @@
 
 HUB_PERIOD_S = 0.1
 HUB_PERIOD_PER_HOST_S = 0.005
-"""Between two exchanges with a hub, and how much longer for each host that it hears:
-0.3 s at 39 hosts. What is known of engines is at most three times as old."""
+"""Time between two exchanges with a hub, and its increase for each host of the data
+centre: 0.3 s at 39 hosts. Engine state is at most three times as old."""
 
 HUB_STORE_MAX_AGE_S = 2.0
-"""While some hub has heard the store within this time, the others need not: it is the
-time of a watch with its bound."""
+"""While some hub has read the store within this time, other hosts need not: it covers
+one watch with its timeout."""
 
 SUBSTITUTE_READER_DELAY_S = 0.5
-"""After so long one more host of a data centre tries to read: one that the store serves
-is found soon, and an outage costs few calls."""
+"""Delay after which each further host of a data centre tries to read: a host that can
+reach the store is found soon, and an outage causes few calls."""
 
 
 class HubTable(PeerTable):
-    """The other hosts as this one knows them, in a large fleet over hubs.
+    """Table of the other hosts, extended by the reports of hubs in a large fleet.
 
     Parameters
     ----------
     seeds : tuple of Address
-        Addresses to find the others by; one's own is left out.
+        Peer addresses contacted to discover the fleet; this host's own is left out.
     """
 
     def __init__(self, me: Contact, seeds: tuple[Address, ...], clock: Clock) -> None:
@@ -42,33 +43,36 @@
         self.hub_reported_at = ZERO
         self.hub_reported_live_hosts = 1
 
-    # Who lives.
-
     def running_peers(self) -> tuple[Peer, ...]:
-        """Return the peers heard lately, and those that the hub vouches for."""
-        heard = self.recently_heard_peers()
-        vouched = self.recent_hub_reported_hosts() - {p.contact.host_id for p in heard}
-        return (*heard, *(self.peers[v] for v in vouched if v in self.peers))
+        """Return the peers heard recently and those that the hub reports as live."""
+        recently_heard = self.recently_heard_peers()
+        hub_reported_ids = self.recent_hub_reported_hosts() - {
+            p.contact.host_id for p in recently_heard
+        }
+        return (
+            *recently_heard,
+            *(self.peers[v] for v in hub_reported_ids if v in self.peers),
+        )
 
     def is_running(self, peer: Peer) -> bool:
-        """Return whether a peer is among those present."""
+        """Return whether a peer is one of the running peers."""
         is_vouched = peer.contact.host_id in self.recent_hub_reported_hosts()
         return is_vouched or super().is_running(peer)
 
     def recent_hub_reported_hosts(self) -> frozenset[HostId]:
-        """Return the hosts here that live by what a hub told lately."""
+        """Return the hosts that the hub reported as live recently."""
         is_new = self.clock.monotonic() - self.hub_reported_at < HUB_SILENCE_TIMEOUT
         return self.hub_reported_hosts if is_new else frozenset()
 
     def last_sign_of_life(self, peer: Peer) -> Instant:
-        """Return when a peer last showed that it lives, or when it became known."""
+        """Return when a peer was last known to be live, or when it was added."""
         last = super().last_sign_of_life(peer)
         if peer.contact.host_id in self.hub_reported_hosts:
             return max(last, self.hub_reported_at)
         return last
 
     def mark_lost(self, host_id: HostId) -> None:
-        """Take a peer that did not answer for lost until it is heard again."""
+        """Treat a peer that did not reply as lost until its next digest."""
         super().mark_lost(host_id)
         if host_id in self.hub_reported_hosts:
             self.hub_reported_hosts -= {host_id}
@@ -76,7 +80,7 @@
 
     @property
     def live_hosts(self) -> int:
-        """Return how many hosts serve, this one included."""
+        """Return how many hosts serve requests, including this one."""
         if self.is_mesh:
             return super().live_hosts
         if not self.is_hub():
@@ -85,48 +89,47 @@
         return self.live_hosts_here() + others
 
     def live_hosts_here(self) -> int:
-        """Return how many hosts of a hub's data centre serve, the hub included."""
+        """Return how many hosts of this hub's data centre serve requests."""
         return sum(1 for p in self.reporting_peers() if not p.is_leaving) + 1
 
     def is_reader(self) -> bool:
         """Return whether this host reads the store for its data centre.
 
-        Where the hub cannot, others try one after the other: an outage of the store
-        must not make all hosts of a large fleet call it again and again.
+        If the hub cannot read, other hosts try one after the other: an outage of the
+        store must not make all hosts of a large fleet call it repeatedly.
         """
         if self.is_mesh:
             return super().is_reader()
         return self.is_hub() or self.is_substitute_reader()
 
     def is_substitute_reader(self) -> bool:
-        """Return whether it is this host's turn to try what the hub cannot read."""
+        """Return whether it is this host's turn to read in place of the hub."""
         stale_s = self.freshest_store_age_s() - HUB_STORE_MAX_AGE_S
         return stale_s >= 0 and self.reader_rank() < stale_s / SUBSTITUTE_READER_DELAY_S
 
-    # Who is the hub.
-
     def hub(self) -> Contact:
-        """Return the hub of this data centre: who orders its engines, if anybody does.
+        """Return the hub of this data centre: the host that holds its order lease.
 
-        Until somebody does, hosts that know the same neighbours agree on one.
+        Without a holder, hosts that know the same live peers choose the same hub by
+        rank.
         """
         if self.holds_lease():
             return self.me
         holder = self.lease_holder()
         if holder is not None:
             return self.peers[holder].contact
-        here = {
+        near_hosts = {
             p.contact.host_id: p.contact for p in self.live_peers() if self.is_near(p)
         }
-        here[self.me.host_id] = self.me
-        return here[HostId(rank_members("hub", here)[0])]
+        near_hosts[self.me.host_id] = self.me
+        return near_hosts[HostId(rank_members("hub", near_hosts)[0])]
 
     def is_hub(self) -> bool:
         """Return whether this host is the hub of its data centre in a large fleet."""
         return not self.is_mesh and self.hub() == self.me
 
     def other_hubs(self) -> tuple[Peer, ...]:
-        """Return the live hubs of other data centres, the last heard of each."""
+        """Return the live hubs of other data centres; of several, the last heard."""
         newest: dict[str, Peer] = {}
         for peer in self.peers.values():
             if peer.is_hub and not self.is_near(peer) and self.is_recently_heard(peer):
@@ -138,7 +141,7 @@
         return tuple(newest.values())
 
     def hub_for_host(self, host_id: HostId) -> HostId | None:
-        """Return the hub that speaks for a host of another data centre, if one does."""
+        """Return the hub, if any, that reports on a host of another data centre."""
         peer = self.peers.get(host_id)
         if self.is_mesh or peer is None or self.is_near(peer):
             return None
@@ -148,7 +151,7 @@
         return None
 
     def known_to_all(self) -> list[HostId]:
-        """Return live hosts that all hosts know: everybody in a mesh, else the hubs."""
+        """Return live hosts known to all hosts: all in a mesh, else the hubs."""
         if self.is_mesh:
             return [self.me.host_id, *(p.contact.host_id for p in self.live_peers())]
         others = [p.contact.host_id for p in self.other_hubs()]
@@ -158,10 +161,8 @@
         """Return the time between two exchanges with a hub, in seconds."""
         return HUB_PERIOD_S + HUB_PERIOD_PER_HOST_S * self.near_peer_count
 
-    # What hubs tell.
-
     def reporting_peers(self) -> tuple[Peer, ...]:
-        """Return the hosts of this data centre that this one, its hub, heard lately."""
+        """Return the hosts of this data centre that this hub heard recently."""
         since = self.clock.monotonic() - HUB_SILENCE_TIMEOUT
         return tuple(
             p
@@ -172,14 +173,14 @@
         )
 
     def live_member_records(self) -> tuple[Member, ...]:
-        """Return the live hosts of this data centre, for those that it has."""
+        """Return the live hosts of this data centre, to be sent to its hosts."""
         return tuple(
             Member(p.contact, round(self.peer_uptime_s(p), 1), p.is_leaving)
             for p in self.reporting_peers()
         )
 
     def neighbour_records(self) -> tuple[Neighbour, ...]:
-        """Return the other hubs, for the hosts of this data centre."""
+        """Return the other hubs, to be sent to the hosts of this data centre."""
         now = self.clock.monotonic()
         return tuple(
             Neighbour(
@@ -192,21 +193,22 @@
         )
 
     def apply_hub_notes(self, notes: HubNotes) -> None:
-        """Take from this data centre's hub which other hosts live."""
+        """Update the table by the report of this data centre's hub."""
         now = self.clock.monotonic()
         self.hub_reported_at = now
         if notes.members is not None:
-            named = frozenset(m.contact.host_id for m in notes.members)
-            self.record_hub_removals(self.hub_reported_hosts - named)
-            self.hub_reported_hosts = named
+            reported_hosts = frozenset(m.contact.host_id for m in notes.members)
+            self.record_hub_removals(self.hub_reported_hosts - reported_hosts)
+            self.hub_reported_hosts = reported_hosts
             self.apply_members(notes.members, now)
         for neighbour in notes.neighbours:
             self.apply_neighbour(neighbour, now)
 
     def record_hub_removals(self, hosts: Iterable[HostId]) -> None:
-        """Take that the hub hears some hosts no more.
+        """Record that the hub no longer reports some hosts as live.
 
-        They count among the voters for as long as hosts that fell silent to this one.
+        They still count as voters for as long as a host whose own digests to this host
+        ended.
         """
         now = self.clock.monotonic()
         for host_id in hosts:
@@ -215,7 +217,7 @@
                 self.peers[host_id] = replace(peer, hub_reported_at=now)
 
     def apply_members(self, members: Iterable[Member], now: Instant) -> None:
-        """Take the live hosts of this data centre, all but the hub."""
+        """Update the live hosts of this data centre, all except the hub."""
         for member in members:
             host_id = member.contact.host_id
             if host_id == self.me.host_id:
@@ -234,7 +236,7 @@
         self.update_near_peer_count()
 
     def apply_neighbour(self, neighbour: Neighbour, now: Instant) -> None:
-        """Take the hub of another data centre."""
+        """Update the hub of another data centre."""
         host_id = neighbour.contact.host_id
         self.record_contact(neighbour.contact)
         known = self.peers.get(host_id) or Peer(neighbour.contact, None, now)
--- a/packages/daemon/src/sardinequay_daemon/journal.py
+++ b/packages/daemon/src/sardinequay_daemon/journal.py
@@ -1,4 +1,4 @@
-"""What a host decided and why, kept for a while to be asked about by id."""
+"""Recent decisions of a host and their reasons, looked up by request or order id."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -8,7 +8,8 @@
 from sardinequay_core.clock import Clock
 
 MAX_SUBJECTS = 4096
-"""Requests and orders remembered; some minutes at a host's peak of 36 a second."""
+"""Maximum number of requests and orders kept: some minutes at a host's peak of 36 a
+second."""
 MAX_ENTRIES = 64
 
 
@@ -23,13 +24,13 @@
 
 @dataclass(slots=True)
 class Journal:
-    """The latest subjects and their entries."""
+    """Most recent subjects and their entries."""
 
     clock: Clock
     subjects: OrderedDict[str, list[JournalEntry]] = field(default_factory=OrderedDict)
 
     def record(self, subject: str, what: str, **details: Any) -> None:
-        """Note an event under a request's or an order's id."""
+        """Add an entry under the id of a request or an order."""
         entries = self.subjects.setdefault(subject, [])
         if len(entries) < MAX_ENTRIES:
             entries.append(JournalEntry(self.clock.now(), what, details))
@@ -37,5 +38,5 @@
             self.subjects.popitem(last=False)
 
     def explain(self, subject: str) -> list[JournalEntry]:
-        """Return what is remembered of an id."""
+        """Return the entries recorded under an id."""
         return list(self.subjects.get(subject, ()))
--- a/packages/daemon/src/sardinequay_daemon/logs.py
+++ b/packages/daemon/src/sardinequay_daemon/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line."""
+"""Structured logs on standard error: one JSON object per line."""
 
 import logging
 import sys
@@ -10,7 +10,7 @@
 
 
 def configure_logging(level: str, host_id: str) -> None:
-    """Send all logs to standard error as JSON, each line naming this host."""
+    """Send all logs to standard error as JSON, with the host id in each line."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter(
--- a/packages/daemon/src/sardinequay_daemon/mailbox.py
+++ b/packages/daemon/src/sardinequay_daemon/mailbox.py
@@ -1,4 +1,4 @@
-"""How tasks talk: typed messages to the task that owns the state."""
+"""Message queues of tasks; a task handles its messages one at a time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,45 +8,45 @@
 
 @dataclass(slots=True)
 class QueuedMessage:
-    """A message on its way, and where its reply goes."""
+    """Message in a mailbox, with the future of its reply if one is expected."""
 
     message: Any
     reply: asyncio.Future[Any] | None = None
 
     def reply_with(self, value: Any) -> None:
-        """Reply, unless the asker is gone."""
+        """Set the reply, unless the sender has stopped waiting."""
         if self.reply is not None and not self.reply.done():
             self.reply.set_result(value)
 
 
 @dataclass(slots=True)
 class Mailbox:
-    """The inbox of one task."""
+    """Message queue of one task."""
 
     queue: asyncio.Queue[QueuedMessage] = field(default_factory=asyncio.Queue)
 
     def post(self, message: Any) -> None:
-        """Send a message and expect no reply."""
+        """Queue a message without expecting a reply."""
         self.queue.put_nowait(QueuedMessage(message))
 
     async def request(self, message: Any) -> Any:
-        """Send a message and wait for its reply."""
+        """Queue a message and wait for its reply."""
         reply = asyncio.get_running_loop().create_future()
         self.queue.put_nowait(QueuedMessage(message, reply))
         return await reply
 
-    async def handle_messages(self, handle: Callable[[QueuedMessage], None]) -> None:
-        """Hand every message to the owner of the state, one at a time."""
+    async def handle_messages(self, handler: Callable[[QueuedMessage], None]) -> None:
+        """Call a handler with every message, one at a time, for good."""
         while True:
-            handle(await self.queue.get())
+            handler(await self.queue.get())
 
 
 async def run_periodically(
-    period_s: float, step: Callable[[], Awaitable[None] | None]
+    period_s: float, function: Callable[[], Awaitable[None] | None]
 ) -> None:
-    """Run a step, then again a period after it ended, for good."""
+    """Call a function, then again a period after it has returned, for good."""
     while True:
-        result = step()
+        result = function()
         if result is not None:
             await result
         await asyncio.sleep(period_s)
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -1,4 +1,4 @@
-"""The task that keeps membership: heartbeats in the data centre, hints beyond it."""
+"""Membership of the data centre by heartbeats, with occasional pings to other ones."""
 
 import asyncio
 import logging
@@ -23,16 +23,16 @@
 from .shared_settings import TimingSettings
 
 PLATFORM_READERS = 2
-"""Hosts of a data centre that watch the platform: one may be lost unnoticed."""
+"""Hosts of a data centre that watch the platform: the loss of one has no effect."""
 REMOTE_PING_ROUNDS = 10
-"""Gossip periods between two hints to a host of another data centre."""
+"""Gossip rounds between two pings to a host of another data centre."""
 LiveMembers = tuple[Member, ...]
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerInForce:
-    """Event: what a peer has in force."""
+    """Event: versions that a peer has in force."""
 
     in_force: InForce
     address: Address
@@ -44,9 +44,9 @@
     Parameters
     ----------
     in_force : callable
-        What this host has in force, to be told with each heartbeat.
-    heard : callable
-        Takes what a peer has in force.
+        Returns what this host has in force, sent with each heartbeat.
+    on_peer_in_force : callable
+        Receives what a peer has in force.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.pending_sends: set[asyncio.Task[None]] = set()
 
     def apply_roster(self, roster: Roster) -> None:
-        """Take hosts of this data centre that were never heard of."""
+        """Add live hosts of this data centre from the roster as members."""
         self.roster = roster
         local = roster.hosts_in_data_centre(self.data_centre)
         members = [
@@ -96,7 +96,7 @@
         await run_periodically(self.timing.gossip_s, self.run_round)
 
     async def run_round(self) -> None:
-        """Ping one member of the data centre, and now and then a host elsewhere."""
+        """Ping one member of the data centre, and every few rounds a remote host."""
         self.round_count += 1
         self.membership.expire_members(self.clock.monotonic())
         member = self.membership.next_ping_target()
@@ -112,11 +112,11 @@
         return [h for h in self.roster.entry_hosts if h.data_centre != self.data_centre]
 
     async def ping(self, member: Member) -> None:
-        """Ping a member and take its news."""
+        """Ping a member and apply the updates in its reply."""
         message = Ping(self.membership.updates_to_send(), self.in_force())
-        answer = await self.peers.call(member.address, message)
+        reply = await self.peers.call(member.address, message)
         now = self.clock.monotonic()
-        pong = answer.value_or(None)
+        pong = reply.value_or(None)
         if isinstance(pong, Pong):
             self.membership.handle_updates(pong.news, now)
             self.membership.record_ping_answer(member.host_id, now)
@@ -125,13 +125,13 @@
             self.membership.record_ping_timeout(member.host_id, now)
 
     async def ping_remote_host(self, address: Address) -> None:
-        """Exchange with a host elsewhere what is in force."""
-        answer = await self.peers.call(address, Ping((), self.in_force()))
-        if isinstance(answer, Success) and isinstance(answer.unwrap(), Pong):
-            self.on_peer_in_force(PeerInForce(answer.unwrap().in_force, address))
+        """Exchange versions in force with a host of another data centre."""
+        reply = await self.peers.call(address, Ping((), self.in_force()))
+        if isinstance(reply, Success) and isinstance(reply.unwrap(), Pong):
+            self.on_peer_in_force(PeerInForce(reply.unwrap().in_force, address))
 
     async def handle_ping(self, ping: Ping) -> Pong:
-        """Answer a heartbeat; an empty one comes from another data centre."""
+        """Reply to a heartbeat; one without updates comes from another data centre."""
         if ping.news:
             self.membership.handle_updates(ping.news, self.clock.monotonic())
             self.publish_live_members()
@@ -140,13 +140,13 @@
         return Pong((), self.in_force())
 
     async def handle_offer(self, offer: Offer) -> Taken:
-        """Take what a peer has newly in force."""
+        """Handle a peer's announcement of a new version in force."""
         ip, _, port = offer.address.rpartition(":")
         self.on_peer_in_force(PeerInForce(offer.in_force, Address(ip, int(port))))
         return Taken()
 
     def publish_live_members(self) -> None:
-        """Tell the other tasks when the set of live members changes."""
+        """Publish the live members if they changed."""
         live = self.membership.live_members()
         known = [(m.host_id, m.incarnation) for m in self.live_members.value]
         if [(m.host_id, m.incarnation) for m in live] != known:
@@ -160,7 +160,7 @@
         return self.membership.self_member.host_id in ranked[:PLATFORM_READERS]
 
     def join_peers(self) -> list[Address]:
-        """Return whom a new host hears: its data centre, and one host of each other."""
+        """Return the peers to query at a start: all here, one per other data centre."""
         others = [
             m.address
             for m in self.membership.live_members()
@@ -176,34 +176,41 @@
         return member.host_id == self.membership.self_member.host_id
 
     def announce_in_force(self) -> None:
-        """Tell at once what is newly in force: locally all, elsewhere two of each."""
-        targets = [
+        """Announce new versions in force to all local and some remote hosts.
+
+        Only the readers of a data centre announce, each to two hosts of every other
+        one.
+        """
+        addresses = [
             m.address
             for m in self.membership.live_members()
             if not self.is_own_member(m)
         ]
-        told: dict[DataCentre, int] = {}
+        announced: dict[DataCentre, int] = {}
         for host in self.random.sample(self.remote_hosts(), len(self.remote_hosts())):
-            if told.get(host.data_centre, 0) < PLATFORM_READERS and self.is_reader():
-                told[host.data_centre] = told.get(host.data_centre, 0) + 1
-                targets.append(host.peer_address)
+            if (
+                announced.get(host.data_centre, 0) < PLATFORM_READERS
+                and self.is_reader()
+            ):
+                announced[host.data_centre] = announced.get(host.data_centre, 0) + 1
+                addresses.append(host.peer_address)
         if self.is_reader():
-            self.send_offers(targets)
+            self.send_offers(addresses)
 
-    def send_offers(self, targets: list[Address]) -> None:
-        """Send an offer to some hosts without waiting for them."""
+    def send_offers(self, addresses: list[Address]) -> None:
+        """Send an offer to some hosts without waiting for their replies."""
         offer = Offer(self.in_force(), str(self.membership.self_member.address))
-        for address in targets:
+        for address in addresses:
             task = asyncio.create_task(self.send_offer(address, offer))
             self.pending_sends.add(task)
             task.add_done_callback(self.pending_sends.discard)
 
     async def send_offer(self, address: Address, offer: Offer) -> None:
-        """Send one offer; a host that misses it hears of it by heartbeat."""
+        """Send one offer; a host that misses it learns of it by heartbeat."""
         await self.peers.call(address, offer)
 
     async def announce_leaving(self) -> None:
-        """Tell the members that this host is leaving."""
+        """Announce to the members that this host is leaving."""
         self.membership.start_leaving()
         self.publish_live_members()
         ping = Ping(self.membership.updates_to_send(), self.in_force())
@@ -211,8 +218,10 @@
         await asyncio.gather(*[self.peers.call(address, ping) for address in peers])
 
     def health_by_member(self) -> dict[str, str]:
-        """Return how each member is seen, for operators."""
+        """Return the health of each member, for operators."""
         known = self.membership.records.items()
-        seen = {str(host_id): k.member.health.name.lower() for host_id, k in known}
+        health = {
+            str(host_id): record.member.health.name.lower() for host_id, record in known
+        }
         me = self.membership.self_member
-        return {**seen, str(me.host_id): Health(me.health).name.lower()}
+        return {**health, str(me.host_id): Health(me.health).name.lower()}
--- a/packages/daemon/src/sardinequay_daemon/messages.py
+++ b/packages/daemon/src/sardinequay_daemon/messages.py
@@ -1,6 +1,6 @@
-"""Messages between entry hosts, beside those that the core defines.
+"""Messages between entry hosts, besides those that the core defines.
 
-Durations travel as seconds; every request names the type of its reply in `REPLIES`.
+Durations are sent as seconds. The class name is the tag of the frame, see `wire`.
 """
 
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """What a host has in force: the bundle and the state of the roster."""
+    """Versions that a host has in force: of the bundle and of the roster."""
 
     bundle_version: int
     bundle_digest: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A heartbeat with news of members."""
+    """Heartbeat with membership updates."""
 
     news: tuple[Member, ...]
     in_force: InForce
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pong:
-    """The answer to a heartbeat."""
+    """Reply to a heartbeat, with membership updates of the receiver."""
 
     news: tuple[Member, ...]
     in_force: InForce
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """Tells what the sender has in force, without waiting for a heartbeat."""
+    """Announces a new bundle or roster version before the next heartbeat."""
 
     in_force: InForce
     address: str
@@ -58,50 +58,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """A message was taken."""
+    """Acknowledges a message that has no other reply."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRoot:
-    """Asks for the signed root in force."""
+    """Requests the signed root in force."""
 
 
 @dataclass(frozen=True, slots=True)
 class RootReply:
-    """The signed root in force as published; empty if there is none."""
+    """Signed root in force, as published; empty if there is none."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class FetchBlobs:
-    """Asks for blobs of the bundle in force."""
+    """Requests blobs of the bundle in force."""
 
     digests: tuple[Digest, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class BlobsReply:
-    """Those of the blobs that the host has."""
+    """Requested blobs that the host has."""
 
     blobs: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRoster:
-    """Asks for the roster."""
+    """Requests the roster."""
 
 
 @dataclass(frozen=True, slots=True)
 class RosterReply:
-    """The latest roster that a host knows."""
+    """Latest roster that a host knows."""
 
     roster: Roster
 
 
 @dataclass(frozen=True, slots=True)
 class Keepership:
-    """Which keeper is meant: of a pool's engines in a data centre."""
+    """Identifies a keeper by the engines it manages: a pool in a data centre."""
 
     pool: PoolName
     data_centre: DataCentre
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """How busy an engine reported to be."""
+    """Load that an engine reported: numbers of running and waiting requests."""
 
     target: TargetId
     running: int
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedUse:
-    """One lease and how long it lasts from when it was granted, in seconds."""
+    """Use lease and its duration from the grant on, in seconds."""
 
     use: AdapterUse
     lasts_s: float
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """A holder asks for leases on an adapter, wherever it is resident."""
+    """Requests use leases on an adapter on the engines where it is resident."""
 
     keepership: Keepership
     holder: HolderId
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """A holder renews its leases, each with the requests that run on it."""
+    """Requests renewal of use leases, each with its number of running requests."""
 
     keepership: Keepership
     holder: HolderId
@@ -148,7 +148,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """Leases granted or renewed; what was to be renewed and is not is recalled."""
+    """Leases granted or renewed.
+
+    A lease that was to be renewed and is missing here is recalled.
+    """
 
     uses: tuple[GrantedUse, ...]
     loads: tuple[EngineLoad, ...]
@@ -156,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """A holder returns a lease."""
+    """Returns a use lease to the keeper."""
 
     keepership: Keepership
     holder: HolderId
@@ -166,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """A request waits for a cold adapter, at most for `wait_s` from now."""
+    """Load request: a request waits up to `wait_s` for an adapter."""
 
     keepership: Keepership
     holder: HolderId
@@ -176,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """The end of the wait: loaded, or when to come back."""
+    """Result of a load request: loaded, or the time after which to retry."""
 
     loaded: bool
     retry_after_s: float = 0.0
@@ -184,19 +187,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NotKeeper:
-    """The asked host does not keep these engines."""
+    """Reply of a host that is not the keeper of the named engines."""
 
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """A keeper asks a holder to stop using an adapter on an engine."""
+    """Keeper's request that a holder stop using an adapter on an engine."""
 
     use: AdapterUse
 
 
 @dataclass(frozen=True, slots=True)
 class Recalled:
-    """How many requests still run under a recalled lease; returned if none."""
+    """Number of requests still running under a recalled lease; returned if zero."""
 
     in_flight: int
     sequence: int
--- a/packages/daemon/src/sardinequay_daemon/metrics.py
+++ b/packages/daemon/src/sardinequay_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that a host publishes for Prometheus."""
+"""Metrics that a host exposes for Prometheus."""
 
 from aioprometheus.collectors import Counter, Gauge, Histogram, Registry
 
@@ -7,7 +7,7 @@
 
 
 class HostMetrics:
-    """What the metrics of every kind of host share."""
+    """Metrics common to all kinds of hosts."""
 
     def __init__(self, host_id: str, data_centre: str) -> None:
         self.registry = Registry()
@@ -40,7 +40,7 @@
 
 
 class Metrics(HostMetrics):
-    """All metrics of one host; each names its unit."""
+    """All metrics of one host; each name contains its unit."""
 
     def __init__(self, host_id: str, data_centre: str) -> None:
         super().__init__(host_id, data_centre)
--- a/packages/daemon/src/sardinequay_daemon/operators.py
+++ b/packages/daemon/src/sardinequay_daemon/operators.py
@@ -1,4 +1,4 @@
-"""The operators' listener: read-only, but for lifting a quarantine."""
+"""HTTP listener for operators: read-only, except for lifting a quarantine."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,18 +17,18 @@
 
 
 class StatusSource(Protocol):
-    """What can be asked about a host."""
+    """Source of a host's status."""
 
     def status(self) -> "HostStatus":
-        """Return what is in force on this host."""
+        """Return the status of this host."""
 
     def is_ready(self) -> bool:
-        """Return whether this host takes requests."""
+        """Return whether this host accepts requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class HostStatus:
-    """What is in force on one host."""
+    """Status of one host."""
 
     host: str
     data_centre: str
@@ -48,7 +48,13 @@
 
 
 class OperatorServer:
-    """Answers operators."""
+    """Serves health, metrics, status and explanations to operators.
+
+    Parameters
+    ----------
+    update_metrics : callable
+        Updates the gauges; called before each response with metrics.
+    """
 
     def __init__(
         self,
@@ -76,27 +82,27 @@
         return app
 
     async def show_health(self, _: web.Request) -> web.Response:
-        """Answer that the process lives."""
+        """Respond that the process is running."""
         return web.json_response({"healthy": True})
 
     async def show_readiness(self, _: web.Request) -> web.Response:
-        """Answer whether the balancer may send requests here."""
+        """Respond whether a load balancer may send requests to this host."""
         is_ready = self.source.is_ready()
         return web.json_response({"ready": is_ready}, status=200 if is_ready else 503)
 
     async def show_metrics(self, request: web.Request) -> web.Response:
-        """Answer with the metrics."""
+        """Respond with the metrics."""
         self.update_metrics()
         accept = request.headers.getall("Accept", [])
         body, headers = render(self.metrics.registry, accept)
         return web.Response(body=body, headers=headers)
 
     async def show_status(self, _: web.Request) -> web.Response:
-        """Answer with what is in force here."""
+        """Respond with the host status."""
         return json_response(self.source.status())
 
     async def show_explanation(self, request: web.Request) -> web.Response:
-        """Answer with what is remembered of a request, a load or an eviction."""
+        """Respond with the journal entries of a request, a load or an eviction."""
         entries = self.journal.explain(request.match_info["subject"])
         return json_response(entries, status=200 if entries else 404)
 
--- a/packages/daemon/src/sardinequay_daemon/peer_table.py
+++ b/packages/daemon/src/sardinequay_daemon/peer_table.py
@@ -1,6 +1,6 @@
-"""What this host knows of the others: who lives, who votes, who orders, who reads.
+"""State of the other hosts: liveness, voters, lease holders and readers of the store.
 
-No message is sent from here; `fleet_task` hears and tells.
+This module sends no messages; `fleet_task` exchanges the digests that update the table.
 """
 
 from collections.abc import Callable
@@ -15,52 +15,60 @@
 from .serving_messages import Contact
 
 DIGEST_PERIOD_S = 0.2
-"""Between two digests to one peer in a small fleet: shares of load age by it."""
+"""Time between two digests to one peer in a small fleet, in seconds. Load shares are up
+to this old."""
 
 DIGEST_PERIOD_PER_HOST_S = 0.012
-"""Added period for each host, so that a host sends some 80 digests a second at most."""
+"""Increase of the period for each host, which limits a host to some 80 digests a
+second."""
 
 LINEAR_PERIOD_MAX_HOSTS = 25
-"""Up to here the period grows with the hosts, beyond it with their square, so that what
-a host spends on telling falls and bytes between data centres stay few."""
+"""Number of hosts up to which the period grows linearly. Beyond, it grows with the
+square, so that the digests that a host sends a second decrease and the traffic between
+data centres stays low."""
 
 SILENCE_TIMEOUT_S = 1.2
 SILENCE_TIMEOUT_PERIODS = 3
-"""A peer that was heard within this time, and as many periods, is alive: a few digests
-may be lost with a connection."""
+"""A peer counts as live for `SILENCE_TIMEOUT_S`, and for this many periods if those are
+longer than in a small fleet: a broken connection may lose a few digests."""
 
 ASSUME_ALONE_AFTER = seconds(10)
-"""A host that nobody answered for so long since its start takes itself to be alone. Far
-longer than a cut that must be survived, for it then orders engines by itself."""
+"""A host that no peer has answered for so long since its start assumes to be alone. It
+then orders engines without votes, so this is far longer than any network partition that
+must be survived."""
 
 ORDER_WAIT_UNKNOWN_S = 60.0
-"""Beyond this a host that says when it may order engines says that it does not know."""
+"""A wait for permission to order engines from this on, in seconds, means that the peer
+does not know how long it has to wait."""
 
 READERS_PER_DATA_CENTRE = 1
 
 HUB_SILENCE_TIMEOUT = seconds(1.2)
-"""A hub and the hosts of its data centre that were heard within this time are alive:
-four periods, as in a mesh."""
+"""Silence after which a hub counts as lost in its data centre, and a host of the data
+centre at its hub: four periods, as in a mesh."""
 
 OTHER_HUB_SILENCE_TIMEOUT = seconds(2)
-"""The same for hubs of other data centres, which most hosts know through their own."""
+"""The same for hubs of other data centres, of which most hosts learn through their own
+hub."""
 
 HUB_REPORT_MAX_AGE = seconds(3)
-"""How long what the last hub told counts: a data centre has a new one before."""
+"""Time for which a hub's last report stays valid: a lost hub is replaced sooner."""
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """A host as this one knows it.
+    """State of another host.
+
+    A host is near if it is in the own data centre, else far.
 
     Parameters
     ----------
-    heard_at : timedelta or None
-        When it was heard itself, or through a hub if it is one.
-    told_at : timedelta
-        When it had been up for `up_s`.
-    vouched_at : timedelta
-        When the hub was last known to hear it, once it does not any more.
+    last_heard_at : timedelta or None
+        Time of its last digest, or of the one that the hub received if it is a hub.
+    up_s : float
+        Its uptime at `up_s_received_at`, in seconds.
+    hub_reported_at : timedelta
+        Last time at which the hub reported it as live, set once the hub stops doing so.
     live_hosts : int
         Live hosts of its data centre, if it is a hub.
     """
@@ -81,12 +89,12 @@
 
 
 class PeerTable:
-    """The other hosts as this one knows them.
+    """Table of the other hosts in the fleet.
 
     Parameters
     ----------
     seeds : tuple of Address
-        Addresses to find the others by; one's own is left out.
+        Peer addresses contacted to discover the fleet; this host's own is left out.
     """
 
     def __init__(self, me: Contact, seeds: tuple[Address, ...], clock: Clock) -> None:
@@ -105,7 +113,7 @@
         self.record_contact(me)
 
     def set_seeds(self, seeds: tuple[Address, ...]) -> None:
-        """Take the addresses to find the others by."""
+        """Set the addresses that are contacted to discover the fleet."""
         self.seeds = tuple(s for s in seeds if str(s) != self.me.address)
 
     @property
@@ -114,26 +122,26 @@
         return is_mesh(len(self.peers) + 1)
 
     def live_peers(self) -> tuple[Peer, ...]:
-        """Return the peers heard of lately that do not leave."""
+        """Return the live peers that are not leaving."""
         return tuple(p for p in self.running_peers() if not p.is_leaving)
 
     def running_peers(self) -> tuple[Peer, ...]:
-        """Return the peers that live, also those that are about to stop."""
+        """Return the live peers, including those that are leaving."""
         return self.recently_heard_peers()
 
     def is_running(self, peer: Peer) -> bool:
-        """Return whether a peer is among those present."""
+        """Return whether a peer is one of the running peers."""
         return self.is_recently_heard(peer)
 
     def is_recently_heard(self, peer: Peer) -> bool:
-        """Return whether a peer is among those heard of lately."""
+        """Return whether a peer's last digest is within its silence timeout."""
         if peer.last_heard_at is None:
             return False
         return peer.last_heard_at > self.clock.monotonic() - self.silence_timeout(peer)
 
     def recently_heard_peers(self) -> tuple[Peer, ...]:
-        """Return the peers heard of lately, also those that are about to stop."""
-        # The bounds once for all peers, as each choice of an engine asks who lives.
+        """Return the peers whose last digest is within the silence timeout."""
+        # Timeouts are computed once for all peers: each choice of an engine calls this.
         now = self.clock.monotonic()
         near_since = now - self.silence_timeout_by_distance(is_near=True)
         far_since = now - self.silence_timeout_by_distance(is_near=False)
@@ -151,14 +159,14 @@
         )
 
     def silence_timeout(self, peer: Peer) -> timedelta:
-        """Return how long a peer is alive after it was heard."""
+        """Return the time after its last digest for which a peer counts as live."""
         is_near = self.is_near(peer)
         if is_near and not self.is_mesh and (peer.holds_lease or peer.is_hub):
             return HUB_SILENCE_TIMEOUT
         return self.silence_timeout_by_distance(is_near)
 
     def silence_timeout_by_distance(self, is_near: bool) -> timedelta:
-        """Return how long peers near or far may be silent and count as alive."""
+        """Return the silence timeout of near or far peers that are not hubs here."""
         if not self.is_mesh and not is_near:
             return OTHER_HUB_SILENCE_TIMEOUT
         period_s = self.digest_period_s(is_near)
@@ -168,34 +176,35 @@
 
     @property
     def live_hosts(self) -> int:
-        """Return how many hosts serve, this one included."""
+        """Return how many hosts serve requests, including this one."""
         return len(self.live_peers()) + 1
 
     def hosts_age_s(self) -> float:
-        """Return how long ago news of the hosts that serve came last, in seconds."""
-        heard = (
+        """Return the time since the newest digest of any peer, in seconds."""
+        heard_times = (
             p.last_heard_at for p in self.peers.values() if p.last_heard_at is not None
         )
         now = self.clock.monotonic()
-        return (now - max(heard, default=self.started_at)).total_seconds()
+        return (now - max(heard_times, default=self.started_at)).total_seconds()
 
     def peer_uptime_s(self, peer: Peer) -> float:
-        """Return how long ago a peer started, in seconds."""
+        """Return the time since a peer started, in seconds."""
         return (
             peer.up_s + (self.clock.monotonic() - peer.up_s_received_at).total_seconds()
         )
 
     def last_sign_of_life(self, peer: Peer) -> Instant:
-        """Return when a peer last showed that it lives, or when it became known."""
+        """Return when a peer was last known to be live, or when it was added."""
         return max(peer.last_heard_at or peer.added_at, peer.hub_reported_at)
 
     def voters(self, lease: timedelta) -> tuple[HostId, ...]:
-        """Return the hosts of this data centre that count among the voters.
+        """Return the hosts of this data centre that count as voters.
 
         Parameters
         ----------
         lease : timedelta
-            How long hosts that leave still count: votes that they gave last as long.
+            Time for which leaving hosts still count: the duration of the votes that
+            they have cast.
         """
         left_since = self.clock.monotonic() - lease
         return tuple(
@@ -205,7 +214,7 @@
         )
 
     def leaving_hosts(self) -> tuple[HostId, ...]:
-        """Return the live hosts of this data centre that are about to stop."""
+        """Return the running hosts of this data centre that are leaving."""
         return tuple(
             p.contact.host_id
             for p in self.running_peers()
@@ -213,14 +222,14 @@
         )
 
     def has_joined(self) -> bool:
-        """Return whether the hosts here are known well enough to vote."""
+        """Return whether enough hosts of this data centre are known to vote."""
         now = self.clock.monotonic()
         if not self.seeds or now - self.joining_since > ASSUME_ALONE_AFTER:
             return True
         return self.joined_at is not None and now - self.joined_at > seconds(1)
 
     def restart_joining(self) -> None:
-        """Look for the hosts here anew: while this one slept, they may have changed."""
+        """Discover the hosts again: they may have changed during a suspension."""
         self.joining_since = self.clock.monotonic()
         self.joined_at = None
 
@@ -229,32 +238,35 @@
         return self.reader_rank() < READERS_PER_DATA_CENTRE
 
     def reader_rank(self) -> int:
-        """Return how many live hosts of this data centre come first as readers."""
-        here = [p.contact.host_id for p in self.live_peers() if self.is_near(p)]
-        return rank_members("reader", [*here, self.me.host_id]).index(self.me.host_id)
+        """Return how many live hosts here rank before this one as readers."""
+        near_hosts = [p.contact.host_id for p in self.live_peers() if self.is_near(p)]
+        return rank_members("reader", [*near_hosts, self.me.host_id]).index(
+            self.me.host_id
+        )
 
     def freshest_store_age_s(self) -> float:
-        """Return how long ago the freshest live peer heard the store."""
+        """Return the least time since a running peer read the store, in seconds."""
         now = self.clock.monotonic()
         freshest_s = float("inf")
         for peer in self.peers.values():
             if peer.last_heard_at is None or peer.is_leaving:
                 continue
             age_s = peer.store_age_s + (now - peer.last_heard_at).total_seconds()
-            # Who lives is asked last: hosts ask this many times a second.
+            # The more expensive liveness check comes last: this runs many times a
+            # second.
             if age_s < freshest_s and self.is_running(peer):
                 freshest_s = age_s
         return freshest_s
 
     def address_of(self, host_id: HostId) -> Address | None:
-        """Return where a peer is reached."""
+        """Return the address of a peer."""
         peer = self.peers.get(host_id)
         return parse_address(peer.contact.address).unwrap() if peer else None
 
     def lease_holder(self) -> HostId | None:
-        """Return the peer that says it holds this data centre's lease.
+        """Return the peer that claims to hold this data centre's order lease.
 
-        One that is about to stop keeps it until then.
+        A leaving peer keeps the lease until it stops.
         """
         for peer in self.peers.values():
             if peer.holds_lease and self.is_near(peer) and self.is_recently_heard(peer):
@@ -264,7 +276,8 @@
     def keepers(self) -> dict[str, Peer]:
         """Return the live peers that order engines, now or soon, by data centre.
 
-        Of two that say so, the one that has had to wait less is the holder.
+        If two peers of a data centre claim this, the one with the shorter wait is the
+        holder.
         """
         may_order = (
             p for p in self.peers.values() if p.orders_in_s < ORDER_WAIT_UNKNOWN_S
@@ -278,42 +291,42 @@
         return self.keepers().get(data_centre)
 
     def uptime_s(self) -> float:
-        """Return how long ago this host started, in seconds."""
+        """Return the time since this host started, in seconds."""
         return (self.clock.monotonic() - self.started_at).total_seconds()
 
     def record_contact(self, contact: Contact) -> None:
-        """Enter a host, or its new address, in the log of those to tell others."""
+        """Log a new host, or a changed address, to be sent to peers."""
         if self.known_contacts.get(contact.host_id) != contact:
             self.known_contacts[contact.host_id] = contact
             self.contact_log.append(contact)
 
-    def contacts_since(self, first: int) -> tuple[Contact, ...]:
-        """Return the hosts entered after the first so many that still are known."""
+    def contacts_since(self, start: int) -> tuple[Contact, ...]:
+        """Return the hosts logged from a position on that are known and not leaving."""
         return tuple(
             c
-            for c in self.contact_log[first:]
+            for c in self.contact_log[start:]
             if self.known_contacts.get(c.host_id) == c and self.is_staying(c.host_id)
         )
 
     def is_staying(self, host_id: HostId) -> bool:
-        """Return whether a host is known and does not leave."""
+        """Return whether a host is known and not leaving."""
         peer = self.peers.get(host_id)
         return host_id == self.me.host_id or (peer is not None and not peer.is_leaving)
 
     def contacts(self) -> tuple[Contact, ...]:
-        """Return all hosts that are known and stay, this one included."""
+        """Return all known hosts that are not leaving, including this one."""
         known = [p.contact for p in self.peers.values() if not p.is_leaving]
         return (self.me, *known)
 
     def digest_period_s(self, is_near: bool) -> float:
-        """Return the time between two digests to one peer."""
+        """Return the time between two digests to one near or far peer, in seconds."""
         hosts = self.near_peer_count if is_near else len(self.peers)
         return DIGEST_PERIOD_S + DIGEST_PERIOD_PER_HOST_S * hosts * max(
             1.0, hosts / LINEAR_PERIOD_MAX_HOSTS
         )
 
     def max_harmless_silence(self) -> timedelta:
-        """Return how long a far peer may be silent without anything being lost."""
+        """Return how long a far peer may be silent without being lost."""
         if not self.is_mesh:
             return HUB_REPORT_MAX_AGE
         return seconds(2 * self.digest_period_s(is_near=False))
@@ -323,23 +336,23 @@
         return peer.contact.data_centre == self.me.data_centre
 
     def update_near_peer_count(self) -> None:
-        """Count the peers of the own data centre."""
+        """Recount the peers of the own data centre."""
         self.near_peer_count = sum(1 for p in self.peers.values() if self.is_near(p))
 
     def record_lease_returned(self, host_id: HostId) -> None:
-        """Take that a peer has given the lease back."""
-        known = self.peers.get(host_id)
-        if known is not None:
+        """Record that a peer has returned the order lease."""
+        peer = self.peers.get(host_id)
+        if peer is not None:
             self.peers[host_id] = replace(
-                known, holds_lease=False, orders_in_s=float("inf")
+                peer, holds_lease=False, orders_in_s=float("inf")
             )
 
     def mark_lost(self, host_id: HostId) -> None:
-        """Take a peer that did not answer for lost until it is heard again."""
-        known = self.peers.get(host_id)
-        if known is None or known.last_heard_at is None:
+        """Treat a peer that did not reply as lost until its next digest."""
+        peer = self.peers.get(host_id)
+        if peer is None or peer.last_heard_at is None:
             return
-        long_ago = self.clock.monotonic() - self.silence_timeout(known)
+        long_ago = self.clock.monotonic() - self.silence_timeout(peer)
         self.peers[host_id] = replace(
-            known, last_heard_at=min(known.last_heard_at, long_ago)
+            peer, last_heard_at=min(peer.last_heard_at, long_ago)
         )
--- a/packages/daemon/src/sardinequay_daemon/peers.py
+++ b/packages/daemon/src/sardinequay_daemon/peers.py
@@ -1,10 +1,10 @@
-"""Calls between entry hosts over streams of msgpack frames.
+"""Remote calls between entry hosts over streams of msgpack frames.
 
-A link tells its other side that it is alive while calls wait on it, and closes when it
-has heard nothing for the silence bound; calls on it fail, and the next call opens a new
-link. So a link that died without a word costs one bound, never a request's whole time.
-A link that no call has used for a while is closed: among hundreds of hosts most pairs
-have nothing to say to one another after the start.
+While calls are pending on a link, its calling end sends keepalive frames. If no frame
+arrives within the silence timeout, the link is closed and its calls fail; the next call
+opens a new link. A connection that breaks without a reset therefore costs one silence
+timeout and not the whole time of a request. A link without calls is closed after an
+idle timeout: among hundreds of hosts most pairs exchange nothing after the start.
 """
 
 import asyncio
@@ -34,25 +34,26 @@
 
 READ_BYTES = 65_536
 KEEPALIVES_PER_SILENCE = 4
-"""Signs of life within one silence bound, so that one lost in a pause is no death."""
+"""Keepalive frames sent within one silence timeout, so that a pause of the peer that
+delays one of them does not close the link."""
 
 LINK_IDLE_TIMEOUT_S = 5.0
-"""How long a link without calls is kept, in seconds: several times the longest period
-between two exchanges of a pair that goes on talking."""
+"""Time after its last call until a link is closed, in seconds. It is several times the
+longest period between two exchanges of hosts that keep exchanging digests."""
 
 RequestHandler = Callable[[Any], Awaitable[Any]]
 log = logging.getLogger(__name__)
 
 
 class PeerConnection:
-    """What both ends of a link share: framed writing, counted by kind of message."""
+    """Common part of both ends of a link: writes and counts frames."""
 
     def __init__(self, writer: asyncio.StreamWriter, metrics: HostMetrics) -> None:
         self.writer = writer
         self.metrics = metrics
 
     def send(self, frame: Frame) -> None:
-        """Write a frame; the transport buffers it."""
+        """Write a frame to the transport, which buffers it."""
         data = encode_frame(frame)
         labels = {"message": frame.tag or frame.kind.name.lower()}
         self.metrics.peer_bytes.add(labels, len(data))
@@ -60,22 +61,30 @@
         self.writer.write(data)
 
     def close(self) -> None:
-        """Close without waiting for the other side."""
+        """Abort the connection without waiting for the peer."""
         with contextlib.suppress(OSError, RuntimeError):
             self.writer.transport.abort()
 
     async def wait_closed(self) -> None:
-        """Wait until the connection has ended, whatever ended it.
+        """Wait until the connection is closed, for whatever reason.
 
-        The stream keeps a reset for whoever waits here; if nobody does, the event loop
-        may log it as an error that was never looked at.
+        A reset is stored in the stream as an exception. If it is not retrieved here,
+        the event loop may log it as an exception that was never retrieved.
         """
         with contextlib.suppress(OSError):
             await self.writer.wait_closed()
 
 
 class PeerLink(PeerConnection):
-    """The calling end of one connection."""
+    """Calling end of a connection to another host.
+
+    Parameters
+    ----------
+    silence_s : float
+        Silence timeout: without a frame for so long, pending calls fail, in seconds.
+    idle_s : float
+        Time without calls after which the link is closed, in seconds.
+    """
 
     def __init__(
         self,
@@ -101,20 +110,20 @@
 
     async def call(self, message: Any) -> Any:
         """Send a request and wait for its reply."""
-        number = next(self.call_numbers)
+        call_number = next(self.call_numbers)
         future = asyncio.get_running_loop().create_future()
         if not self.pending_calls:
             self.last_received_at = asyncio.get_running_loop().time()
-        self.pending_calls[number] = future
+        self.pending_calls[call_number] = future
         self.call_started.set()
         try:
-            self.send(encode_message(FrameKind.REQUEST, number, message))
+            self.send(encode_message(FrameKind.REQUEST, call_number, message))
             return await future
         finally:
-            self.pending_calls.pop(number, None)
+            self.pending_calls.pop(call_number, None)
 
     async def receive_replies(self) -> None:
-        """Hand replies to those who wait for them."""
+        """Read frames and complete the pending calls, until the connection ends."""
         frames = FrameReader()
         try:
             while data := await self.reader.read(READ_BYTES):
@@ -127,7 +136,7 @@
         await self.wait_closed()
 
     def complete_call(self, frame: Frame) -> None:
-        """Complete the call that a frame answers."""
+        """Complete the pending call that a reply or failure frame belongs to."""
         future = self.pending_calls.get(frame.correlation)
         if future is None or future.done() or frame.kind is FrameKind.ALIVE:
             return
@@ -138,7 +147,7 @@
             future.set_exception(PeerError("", detail))
 
     async def monitor_silence(self) -> None:
-        """Ask for signs of life while calls wait; fail them when none come."""
+        """Send keepalives while calls are pending; fail the calls on silence."""
         while self.is_open:
             if not self.pending_calls and not await self.wait_for_call():
                 self.close_with_error("idle")
@@ -153,7 +162,7 @@
             self.send(Frame(FrameKind.ALIVE, 0))
 
     async def wait_for_call(self) -> bool:
-        """Wait for the next call; return whether one came before the link is idle."""
+        """Wait for the next call; return whether one came before the idle timeout."""
         self.call_started.clear()
         try:
             async with asyncio.timeout(self.idle_s):
@@ -163,7 +172,7 @@
         return True
 
     def close_with_error(self, detail: str) -> None:
-        """Close the link and fail the calls that wait on it."""
+        """Close the link and fail its pending calls."""
         if not self.is_open:
             return
         self.is_open = False
@@ -173,19 +182,19 @@
                 future.set_exception(PeerError("", detail))
 
     def stop(self) -> None:
-        """End the link's tasks."""
+        """Close the link and cancel its tasks."""
         self.close_with_error("this host is stopping")
         for task in self.tasks:
             task.cancel()
 
 
 class PeerClient:
-    """Calls to any entry host, over one link to each.
+    """Calls other entry hosts, over one link to each of them.
 
     Parameters
     ----------
     source_ip : str
-        The IP number that calls come from: that of this host's own listener.
+        Source address of the connections: the IP number of this host's own listener.
     """
 
     def __init__(
@@ -207,7 +216,7 @@
     async def call(
         self, address: Address, message: Any, timeout_s: float | None = None
     ) -> Result[Any, PeerError]:
-        """Send a request and wait for its reply, by default for the call timeout."""
+        """Send a request and wait for its reply, by default up to the call timeout."""
         bound_s = self.timing.call_timeout_s if timeout_s is None else timeout_s
         try:
             async with asyncio.timeout(bound_s):
@@ -231,7 +240,7 @@
             return link
 
     async def connect(self, address: Address) -> PeerLink:
-        """Connect to a host."""
+        """Connect to a host and return the link."""
         async with asyncio.timeout(self.timing.connect_timeout_s):
             reader, writer = await asyncio.open_connection(
                 address.ip, address.port, ssl=self.tls, local_addr=self.source
@@ -243,7 +252,7 @@
         return link
 
     def drop_link(self, address: Address, link: PeerLink) -> None:
-        """Drop a link that has ended."""
+        """Remove a link that has ended."""
         if self.links.get(address) is link:
             del self.links[address]
 
@@ -254,21 +263,21 @@
 
 
 class PeerServer:
-    """Answers the calls of other entry hosts."""
+    """Serves the calls of other entry hosts."""
 
     def __init__(self, metrics: HostMetrics) -> None:
         self.metrics = metrics
         self.handlers: dict[type, RequestHandler] = {}
         self.connections: set[PeerConnection] = set()
 
-    def register(self, kind: type, handler: RequestHandler) -> None:
-        """Have requests of one type answered by a handler."""
-        self.handlers[kind] = handler
+    def register(self, message_type: type, handler: RequestHandler) -> None:
+        """Register the handler of a request type."""
+        self.handlers[message_type] = handler
 
     async def start(
         self, address: Address, tls: ssl.SSLContext | None = None
     ) -> asyncio.Server:
-        """Listen."""
+        """Listen for connections of other hosts."""
         return await asyncio.start_server(
             self.serve_connection, address.ip, address.port, ssl=tls
         )
@@ -276,7 +285,7 @@
     async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve one connection until it ends, then cancel what it still asked for."""
+        """Serve one connection until it ends, then cancel its unfinished requests."""
         connection = PeerConnection(writer, self.metrics)
         self.connections.add(connection)
         frames, running = FrameReader(), set[asyncio.Task[None]]()
@@ -296,7 +305,7 @@
     def start_request(
         self, connection: PeerConnection, frame: Frame, running: set[asyncio.Task[None]]
     ) -> None:
-        """Answer a request in a task of its own, and a sign of life at once."""
+        """Start a task that handles a request; send a keepalive frame back at once."""
         if frame.kind is FrameKind.ALIVE:
             connection.send(frame)
             return
@@ -305,7 +314,7 @@
         task.add_done_callback(running.discard)
 
     async def handle_request(self, connection: PeerConnection, frame: Frame) -> None:
-        """Answer one request."""
+        """Call the handler of one request and send its reply or a failure."""
         try:
             message = decode_message(frame)
             handler = self.handlers.get(type(message))
--- a/packages/daemon/src/sardinequay_daemon/platform.py
+++ b/packages/daemon/src/sardinequay_daemon/platform.py
@@ -1,7 +1,8 @@
-"""The platform's services as this system sees them: read and watched, never written.
+"""Clients of the platform's configuration service and host list, both read-only.
 
-Both answer ``GET`` with a revision and let a reader wait for a later one. Each module
-that needs them takes the interfaces, so that the users' real services cost one module.
+Both answer ``GET`` with a revision and let a reader wait for a later one. Modules
+depend on the protocols only, so that adapting to other services changes this module
+alone.
 """
 
 from dataclasses import dataclass
@@ -21,12 +22,12 @@
 ROOT_KEY = "root"
 REVISION_HEADER = "X-Revision"
 WATCH_TIMEOUT_MARGIN_S = 5.0
-"""How much longer than asked for a watch may take before it counts as dead."""
+"""Time that a watch may take beyond the requested wait until it fails, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedValue:
-    """A published value and its revision; no data if it did not change."""
+    """Published value and its revision; `data` is None if it did not change."""
 
     revision: int
     data: bytes | None
@@ -38,7 +39,7 @@
     async def watch_root(
         self, after: int, wait_s: float
     ) -> Result[PublishedValue, PlatformError]:
-        """Return the signed root once its revision is above `after`, or in the end."""
+        """Return the signed root once its revision exceeds `after`, or at timeout."""
 
     async def blob(self, digest: Digest) -> Result[bytes, PlatformError]:
         """Return a blob of a bundle."""
@@ -48,11 +49,11 @@
     """Reads and watches the list of live and leaving hosts."""
 
     async def watch(self, after: int, wait_s: float) -> Result[Roster, PlatformError]:
-        """Return the list once its number is above `after`, or in the end."""
+        """Return the list once its number exceeds `after`, or after the wait."""
 
 
 class HttpReader:
-    """Reads one service over HTTP and counts the calls."""
+    """Reads one platform service over HTTP and counts the calls."""
 
     def __init__(
         self, session: aiohttp.ClientSession, url: str, metrics: Metrics, name: str
@@ -65,7 +66,7 @@
     async def get(
         self, path: str, after: int | None = None, wait_s: float = 0.0
     ) -> Result[PublishedValue, PlatformError]:
-        """Read a value, or wait for a later one than `after`."""
+        """Read a value, or wait for one with a revision later than `after`."""
         self.metrics.platform_calls.inc({"service": self.name})
         params = {} if after is None else {"after": str(after), "wait_s": str(wait_s)}
         timeout = aiohttp.ClientTimeout(total=wait_s + WATCH_TIMEOUT_MARGIN_S)
@@ -80,7 +81,7 @@
     async def read_response(
         self, path: str, answer: aiohttp.ClientResponse
     ) -> Result[PublishedValue, PlatformError]:
-        """Turn an answer into a value."""
+        """Convert an HTTP response to a value."""
         revision = int(answer.headers.get(REVISION_HEADER, "0"))
         if answer.status == 304:
             return Success(PublishedValue(revision, None))
@@ -90,12 +91,14 @@
         while len(data) <= MAX_VALUE_BYTES and not answer.content.at_eof():
             data += await answer.content.read(MAX_VALUE_BYTES + 1)
         if len(data) > MAX_VALUE_BYTES:
-            return Failure(PlatformError(self.name, f"{path}: over the limit"))
+            return Failure(
+                PlatformError(self.name, f"{path}: response exceeds the size limit")
+            )
         return Success(PublishedValue(revision, data))
 
 
 class HttpConfigurationService:
-    """The configuration service over HTTP."""
+    """Configuration service over HTTP."""
 
     def __init__(self, reader: HttpReader) -> None:
         self.reader = reader
@@ -103,7 +106,7 @@
     async def watch_root(
         self, after: int, wait_s: float
     ) -> Result[PublishedValue, PlatformError]:
-        """Return the signed root once its revision is above `after`, or in the end."""
+        """Return the signed root once its revision exceeds `after`, or at timeout."""
         return await self.reader.get(f"/v1/values/{ROOT_KEY}", after, wait_s)
 
     async def blob(self, digest: Digest) -> Result[bytes, PlatformError]:
@@ -113,19 +116,19 @@
 
 
 class HttpHostList:
-    """The list of hosts over HTTP."""
+    """Host list over HTTP."""
 
     def __init__(self, reader: HttpReader) -> None:
         self.reader = reader
 
     async def watch(self, after: int, wait_s: float) -> Result[Roster, PlatformError]:
-        """Return the list once its number is above `after`, or in the end."""
+        """Return the list once its number exceeds `after`, or after the wait."""
         value = await self.reader.get("/v1/hosts", after, wait_s)
         return value.bind(decode_roster)
 
 
 def decode_roster(value: PublishedValue) -> Result[Roster, PlatformError]:
-    """Decode the list; an unchanged one comes as a number without members."""
+    """Decode a host list; an unchanged one has a number and no members."""
     if value.data is None:
         return Success(Roster(value.revision))
     try:
--- a/packages/daemon/src/sardinequay_daemon/rollout_task.py
+++ b/packages/daemon/src/sardinequay_daemon/rollout_task.py
@@ -1,8 +1,9 @@
-"""The task that keeps the bundle in force: the newest that verifies, and never back.
+"""Rollout of bundles: the newest verified bundle is in force, never an older one.
 
-A few hosts of each data centre watch the configuration service; the others are told by
-peers. Whoever brings a bundle, each host verifies it for itself. A new host hears its
-peers before it is ready, so that a stale service cannot make it serve an old bundle.
+A few hosts of each data centre watch the configuration service; the others receive new
+bundles from peers. Each host verifies every bundle itself, whatever its source. A new
+host queries its peers before it is ready, so that a stale service cannot make it serve
+an old bundle.
 """
 
 import asyncio
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerOffer:
-    """Event: a peer says what bundle it has in force."""
+    """Event: a peer announces the bundle that it has in force."""
 
     offered: OfferedBundle
     address: Address
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstalledBundle:
-    """The bundle in force and what it was made from."""
+    """Bundle in force, its signed root and the blobs that it was assembled from."""
 
     bundle: Bundle
     data: bytes
@@ -91,14 +92,14 @@
         self.install_lock = asyncio.Lock()
 
     def in_force(self, roster_number: int) -> InForce:
-        """Return what to tell peers."""
+        """Return the versions in force to send to peers."""
         if self.installed is None:
             return InForce(0, "", roster_number)
         bundle = self.installed.bundle
         return InForce(bundle.version, bundle.digest, roster_number)
 
     async def run(self, first_peers: Callable[[], Iterable[Address]]) -> None:
-        """Join, then watch the service and take offers for good."""
+        """Query the peers, then watch the service and handle offers for good."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.handle_offers())
             await self.fetch_initial_roots(first_peers)
@@ -107,9 +108,10 @@
     async def fetch_initial_roots(
         self, first_peers: Callable[[], Iterable[Address]]
     ) -> None:
-        """Hear what peers have in force before the service is believed.
+        """Query what peers have in force before the service is trusted.
 
-        After the bound a host that hears no peer goes on alone, and says so.
+        A host that no peer has answered within the timeout continues alone and logs
+        that.
         """
         bound_s = self.timing.join_wait_s
         try:
@@ -122,10 +124,10 @@
             log.warning("no peer heard before serving", extra={"bound_s": bound_s})
 
     async def fetch_roots(self, addresses: list[Address]) -> None:
-        """Ask several peers at once for the root that they have in force."""
+        """Request from several peers at once the root that they have in force."""
         calls = [self.peers.call(address, FetchRoot()) for address in addresses]
-        answers = await asyncio.gather(*calls)
-        for address, answer in zip(addresses, answers, strict=True):
+        replies = await asyncio.gather(*calls)
+        for address, answer in zip(addresses, replies, strict=True):
             reply = answer.value_or(None)
             if not isinstance(reply, RootReply):
                 continue
@@ -134,28 +136,29 @@
             self.rollout.confirmation = Confirmation.PEERS
 
     async def watch(self) -> None:
-        """Watch the service as a reader, or while nothing is in force.
+        """Watch the service as a reader, or while no bundle is in force.
 
-        A watch that ends without a change, or fails, is followed by a plain read: the
-        service may have been replaced, and its revisions say nothing across that.
+        A watch that fails or ends without a change is followed by a plain read: the
+        service may have been replaced, and then its revisions cannot be compared with
+        earlier ones.
         """
         while True:
             if not (self.is_reader() or self.installed is None):
                 await asyncio.sleep(RETRY_S)
                 continue
             wait_s = self.timing.platform_wait_s if self.revision else 0.0
-            found = await self.service.watch_root(self.revision, wait_s)
-            self.revision = await self.apply_value(found)
+            result = await self.service.watch_root(self.revision, wait_s)
+            self.revision = await self.apply_value(result)
             if not self.revision or self.installed is None:
                 await asyncio.sleep(RETRY_S)
 
-    async def apply_value(self, found: Result[PublishedValue, PlatformError]) -> int:
-        """Take what was read; return the revision to watch from, 0 to read anew."""
-        if not isinstance(found, Success):
-            error = str(found.failure())
+    async def apply_value(self, result: Result[PublishedValue, PlatformError]) -> int:
+        """Apply a read value; return the revision to watch from, 0 to read anew."""
+        if not isinstance(result, Success):
+            error = str(result.failure())
             log.warning("configuration service not read", extra={"error": error})
             return 0
-        value: PublishedValue = found.unwrap()
+        value: PublishedValue = result.unwrap()
         if value.data is None or not await self.apply_root(value.data, None):
             return 0
         return value.revision
@@ -166,34 +169,34 @@
             offer: PeerOffer = (await self.inbox.queue.get()).message
             if not self.rollout.should_fetch(offer.offered):
                 continue
-            found = await self.peers.call(offer.address, FetchRoot())
-            if isinstance(found, Success) and isinstance(found.unwrap(), RootReply):
-                await self.apply_root(found.unwrap().data, offer.address)
+            reply = await self.peers.call(offer.address, FetchRoot())
+            if isinstance(reply, Success) and isinstance(reply.unwrap(), RootReply):
+                await self.apply_root(reply.unwrap().data, offer.address)
 
     async def apply_root(self, data: bytes, source: Address | None) -> bool:
-        """Judge a signed root, and put it in force if it is newer and whole.
+        """Verify a signed root and put its bundle in force if newer and complete.
 
         Returns
         -------
         bool
-            False if it is worth another try, because parts of it were not to be had.
+            False if it is worth retrying because blobs of it could not be fetched.
         """
         async with self.install_lock:
-            judged = self.rollout.check_root(data)
-            if not isinstance(judged, Success):
-                self.record_refusal(judged.failure(), data)
+            verified = self.rollout.check_root(data)
+            if not isinstance(verified, Success):
+                self.record_refusal(verified.failure(), data)
                 return True
-            signed = judged.unwrap()
+            signed = verified.unwrap()
             if signed is None:
                 return True
-            done = await self.put_in_force(signed, data, source)
-            if isinstance(done, Success):
+            installation = await self.put_in_force(signed, data, source)
+            if isinstance(installation, Success):
                 return True
-            self.record_refusal(done.failure(), data)
-            return done.failure().reason != MISSING_BLOB
+            self.record_refusal(installation.failure(), data)
+            return installation.failure().reason != MISSING_BLOB
 
     def record_refusal(self, error: BundleError, data: bytes) -> None:
-        """Tell of a refused bundle: count each time, log each once."""
+        """Count every refusal of a bundle, and log each refused bundle once."""
         self.metrics.bundle_refusals.inc({"reason": error.reason})
         digest = signed_root_digest(data)
         if not self.rollout.record_refusal(error, digest):
@@ -205,19 +208,25 @@
     async def put_in_force(
         self, signed: SignedRoot, data: bytes, source: Address | None
     ) -> Result[None, BundleError]:
-        """Fetch what a newer bundle needs, assemble it whole, and switch to it."""
+        """Fetch the missing blobs of a newer bundle, assemble it and switch to it."""
         old = self.installed
         blobs = dict(old.blobs) if old else {}
-        while wanted := sorted(missing_blobs(signed.root, blobs)):
-            fetched = await self.fetch_blobs(wanted, source)
+        while missing := sorted(missing_blobs(signed.root, blobs)):
+            fetched = await self.fetch_blobs(missing, source)
             if not fetched:
-                return Failure(BundleError(MISSING_BLOB, f"{len(wanted)} blobs"))
+                return Failure(
+                    BundleError(
+                        MISSING_BLOB, f"{len(missing)} blobs could not be fetched"
+                    )
+                )
             blobs.update(fetched)
         digest = root_digest(signed.root)
-        made = assemble_bundle(signed.root, digest, blobs, old.bundle if old else None)
-        if not isinstance(made, Success):
-            return Failure(made.failure())
-        bundle = made.unwrap()
+        assembled = assemble_bundle(
+            signed.root, digest, blobs, old.bundle if old else None
+        )
+        if not isinstance(assembled, Success):
+            return Failure(assembled.failure())
+        bundle = assembled.unwrap()
         needed = {
             signed.root.base,
             *signed.root.index,
@@ -235,34 +244,34 @@
         return Success(None)
 
     async def fetch_blobs(
-        self, wanted: list[Digest], source: Address | None
+        self, missing: list[Digest], source: Address | None
     ) -> dict[Digest, bytes]:
-        """Fetch some blobs from the peer that offered the bundle, or the service."""
-        some = wanted[:BLOBS_PER_FETCH]
+        """Fetch blobs from the peer that offered the bundle, else from the service."""
+        batch = missing[:BLOBS_PER_FETCH]
         if source is None:
-            found = await asyncio.gather(*[self.service.blob(d) for d in some])
-            blobs = [f.unwrap() for f in found if isinstance(f, Success)]
+            results = await asyncio.gather(*[self.service.blob(d) for d in batch])
+            blobs = [f.unwrap() for f in results if isinstance(f, Success)]
         else:
-            answer = await self.peers.call(
-                source, FetchBlobs(tuple(some)), FETCH_TIMEOUT_S
+            reply_result = await self.peers.call(
+                source, FetchBlobs(tuple(batch)), FETCH_TIMEOUT_S
             )
-            reply = answer.value_or(None)
+            reply = reply_result.value_or(None)
             blobs = list(reply.blobs) if isinstance(reply, BlobsReply) else []
         by_digest = {blob_digest(blob): blob for blob in blobs}
-        return {d: by_digest[d] for d in some if d in by_digest}
+        return {d: by_digest[d] for d in batch if d in by_digest}
 
     async def handle_fetch_root(self, _: FetchRoot) -> RootReply:
-        """Answer a peer that asks for the root in force."""
+        """Reply to a peer that requests the root in force."""
         return RootReply(self.installed.data if self.installed else b"")
 
     async def handle_fetch_blobs(self, message: FetchBlobs) -> BlobsReply:
-        """Answer a peer that asks for blobs of the bundle in force."""
+        """Reply to a peer that requests blobs of the bundle in force."""
         blobs = self.installed.blobs if self.installed else {}
         return BlobsReply(tuple(blobs[d] for d in message.digests if d in blobs))
 
 
 def signed_root_digest(data: bytes) -> Digest:
-    """Return the digest of a root's content, or of the bytes if they are none."""
+    """Return the digest of a signed root's content, or of the bytes if unparsable."""
     parsed = parse_signed_root(data)
     if isinstance(parsed, Success):
         return root_digest(parsed.unwrap().root)
--- a/packages/daemon/src/sardinequay_daemon/roster_task.py
+++ b/packages/daemon/src/sardinequay_daemon/roster_task.py
@@ -1,4 +1,4 @@
-"""The task that keeps the roster: from the platform, or from peers that read it."""
+"""The roster, read from the platform or from peers that read it."""
 
 import asyncio
 import logging
@@ -28,9 +28,11 @@
     Parameters
     ----------
     is_reader : callable
-        Whether this host watches the platform itself, as a few of a data centre do.
+        Returns whether this host watches the platform itself, as a few hosts of each
+        data centre do.
     must_confirm : callable
-        Whether it must read the list now and then all the same, as a guard must.
+        Returns whether this host must read the list from time to time in any case, as a
+        guard must.
     """
 
     def __init__(
@@ -56,7 +58,7 @@
         self.inbox = Mailbox()
 
     async def run(self) -> None:
-        """Read the list, and take what peers offer, for good."""
+        """Watch the host list and handle offers of peers, for good."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.watch())
             group.create_task(self.handle_offers())
@@ -75,19 +77,19 @@
                     await self.read_host_list(0)
 
     async def read_host_list(self, wait_s: float) -> None:
-        """Read the platform's list once."""
-        found = await self.host_list.watch(self.roster.number, wait_s)
-        if not isinstance(found, Success):
-            log.warning("host list not read", extra={"error": str(found.failure())})
+        """Read the platform's host list once."""
+        result = await self.host_list.watch(self.roster.number, wait_s)
+        if not isinstance(result, Success):
+            log.warning("host list not read", extra={"error": str(result.failure())})
             await asyncio.sleep(RETRY_S)
             return
-        self.apply_roster(found.unwrap())
+        self.apply_roster(result.unwrap())
         self.direct_reads.on_next(self.roster)
         if self.roster.number == 0:
             await asyncio.sleep(RETRY_S)
 
     def apply_roster(self, roster: Roster) -> None:
-        """Publish a later state of the list; an earlier one is old news."""
+        """Publish a roster if it is newer than the current one."""
         if roster.number <= self.roster.number:
             return
         self.roster = roster
@@ -95,19 +97,19 @@
         self.rosters.on_next(roster)
 
     async def handle_offers(self) -> None:
-        """Fetch the roster from peers that say they have a later one."""
+        """Fetch the roster from peers that offer a newer one."""
         while True:
-            envelope = await self.inbox.queue.get()
-            number, address = envelope.message
+            queued = await self.inbox.queue.get()
+            number, address = queued.message
             if number > self.roster.number:
                 await self.fetch_roster(address)
 
     async def fetch_roster(self, address: Address) -> None:
         """Fetch the roster from a peer."""
-        found = await self.peers.call(address, FetchRoster())
-        if isinstance(found, Success) and isinstance(found.unwrap(), RosterReply):
-            self.apply_roster(found.unwrap().roster)
+        reply = await self.peers.call(address, FetchRoster())
+        if isinstance(reply, Success) and isinstance(reply.unwrap(), RosterReply):
+            self.apply_roster(reply.unwrap().roster)
 
     async def handle_fetch(self, _: FetchRoster) -> RosterReply:
-        """Answer a peer that asks for the roster."""
+        """Reply to a peer that requests the roster."""
         return RosterReply(self.roster)
--- a/packages/daemon/src/sardinequay_daemon/serving_messages.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_messages.py
@@ -1,6 +1,6 @@
-"""Messages between hosts that serve requests of any shape.
+"""Messages between hosts that serve requests of any kind.
 
-Durations travel as seconds.
+Durations are sent as seconds. The class name is the tag of the frame, see `wire`.
 """
 
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contact:
-    """How a host is reached."""
+    """Identity, data centre and peer address of a host."""
 
     host_id: HostId
     data_centre: str
@@ -30,23 +30,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineHoldings:
-    """What one engine holds, told by the host that orders it.
+    """Adapters of one engine, as reported by the host that orders it.
 
     Parameters
     ----------
     number : int
-        Counts changes; with the token it tells later news from earlier.
+        Change counter; together with the fencing token it orders reports by age.
     coming : dict
-        Adapters on their way and when they are expected, in seconds.
+        Adapters being loaded and the time until they are expected, in seconds.
     queued : int
-        Adapters that wait for a place there.
+        Adapters that wait for a free slot on the engine.
     turnover_s : float
-        Time between two loads while it is full, in seconds.
+        Time between two loads while the engine is full, in seconds.
     incarnation : int
-        The engine's start of which this is told, in Unix milliseconds.
+        Start of the engine that this describes, in Unix milliseconds.
     idle : int or None
-        Adapters that no request uses, told anew when there is one and was none, or the
-        other way round.
+        Adapters that no request uses. It is sent again when it becomes zero or stops
+        being zero, not with every change.
     """
 
     target: TargetId
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterUse:
-    """Requests of one host that use an adapter on an engine."""
+    """Number of requests of one host that use an adapter on an engine."""
 
     target: TargetId
     adapter: AdapterRef
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A live host of a data centre, as its hub knows it."""
+    """Live host of a data centre, as its hub reports it."""
 
     contact: Contact
     up_s: float
@@ -81,17 +81,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Neighbour:
-    """The hub of another data centre.
+    """Hub of another data centre.
 
     Parameters
     ----------
     orders_in_s : float
-        In how long it may order its data centre's engines, in seconds; infinite if
-        that is not known.
+        Time until it may order its data centre's engines, in seconds; infinite if that
+        is unknown.
     store_age_s : float
-        How long before that it had heard the store, in seconds.
+        Age of its last read of the store when its digest was received, in seconds.
     age_s : float
-        How long ago it was heard, in seconds.
+        Time since its digest was received, in seconds.
     """
 
     contact: Contact
@@ -102,12 +102,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HubNotes:
-    """What a hub tells the hosts of its data centre of other hosts.
+    """Report of a hub to the hosts of its data centre about other hosts.
 
     Parameters
     ----------
     members : tuple of Member or None
-        The live hosts of the data centre but the hub; None for the same as last time.
+        Live hosts of the data centre without the hub; None if unchanged since the last
+        report to the receiver.
     """
 
     members: tuple[Member, ...] | None
@@ -116,44 +117,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """What a host tells each of its peers a few times a second.
+    """Heartbeat between hosts, exchanged a few times a second.
 
     Parameters
     ----------
     scope : Scope
-        Whose requests the shares, uses and outcomes are.
+        Hosts whose requests the shares, uses and outcomes cover.
     contacts : tuple of Contact
-        Hosts that the sender knows; empty if the peer has them already.
+        Hosts that the sender knows; empty if the receiver has them already.
     holds_lease : bool
         Whether the sender holds the lease to order its data centre's engines.
     orders_in_s : float
-        In how long it may order them, in seconds; 0 for now.
+        Time until the sender may order them, in seconds; 0 for now.
     up_s : float
-        How long ago the sender started.
+        Time since the sender started, in seconds.
     store_revision : int
-        The newest revision of the store that the sender knows of.
+        Newest revision of the store that the sender knows of.
     news_revision : int
-        Up to where it knows what the receiver should fetch: other revisions since
-        brought nothing but renewed entries.
+        Newest revision that the receiver should fetch; revisions after it only renewed
+        entries.
     store_age_s : float
-        How long ago it last heard the store itself; infinite if never.
+        Time since the sender itself last read the store, in seconds; infinite if never.
     outcomes : dict
-        How requests ended at targets at which requests fail.
+        Outcomes of requests by target, for targets at which requests fail.
     demand : Demand
-        What callers ask for, in a large fleet.
+        Adapters that callers request, in a large fleet.
     hub : Contact or None
-        The hub of the sender's data centre, in a large fleet.
+        Hub of the sender's data centre, in a large fleet.
     live_hosts : int
-        Hosts of the scope that are alive.
+        Number of live hosts in the scope.
     notes : HubNotes or None
-        From a hub to the hosts of its data centre.
+        Report of a hub to the hosts of its data centre.
     contents : tuple of ContentNews
-        Contents of requests of which the peer was not told yet what is known.
+        Quarantine state of contents that changed since the last digest to the receiver.
     has_missed : bool
-        Whether the sender's last exchange with the receiver failed, so that what was
-        told in it may be lost.
+        Whether the sender's last exchange with the receiver failed, so that the
+        receiver's digest in it may be lost.
     usage : dict
-        What organisations used since the sender started, where that changed lately.
+        Usage by organisation since the sender started, where it changed recently.
     """
 
     host: Contact
@@ -181,14 +182,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchItems:
-    """Asks for the store's items that changed after a revision."""
+    """Requests the items of the store that changed after a revision."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class ItemsReply:
-    """Items of the store, all of them if `is_whole`."""
+    """Items of the store: all of them if `is_whole`, else the changed ones."""
 
     items: tuple[StoreItem, ...]
     revision: int
@@ -197,20 +198,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WantAdapter:
-    """Asks the host that orders an engine to have an adapter loaded there.
+    """Load request to the host that orders an engine.
 
     Parameters
     ----------
     worth : float
-        What the answer is worth to the request that waits.
+        Value of the answer for the waiting request.
     goal_s : float
-        With the adapter there within this time, its answer is on time, in seconds.
+        Time within which the adapter must be loaded for the answer to be on time, in
+        seconds.
     wait_s : float
-        How long waiting for it helps, in seconds.
+        Time after which the adapter is of no more use to the request, in seconds.
     waited_s : float
-        How long the request has waited already, in seconds.
+        Time that the request has waited already, in seconds.
     look_s : float
-        An answer is wanted after so long in any case, in seconds.
+        Time after which a reply is due in any case, in seconds.
     """
 
     target: TargetId
@@ -224,14 +226,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WantReply:
-    """Whether the adapter is ready; else why not.
+    """Result of a load request: whether the adapter is ready, else the reason.
 
     Parameters
     ----------
     expected_s : float
-        How long it would still take, in seconds.
+        Expected remaining time until it is loaded, in seconds.
     is_queued : bool
-        Whether it was waiting for a place until now and may go on to.
+        Whether it waited for a free slot until now and may continue to wait.
     """
 
     is_ready: bool
@@ -242,7 +244,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterMissing:
-    """Tells that an engine said it does not hold an adapter, and in which start."""
+    """Reports that an engine rejected a request because it lacks the adapter.
+
+    `incarnation` is the start of the engine that rejected it.
+    """
 
     target: TargetId
     adapter: AdapterRef
@@ -251,9 +256,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UseChanged:
-    """Tells the host that orders an engine that an adapter fell idle or is used.
+    """Reports to the host that orders an engine that an adapter became idle or used.
 
-    Sent at once, since a place that is idle unknown is a place lost.
+    It is sent at once, because a slot that is idle without the orderer's knowledge
+    cannot be used for another adapter.
     """
 
     host_id: HostId
@@ -262,7 +268,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Noted:
-    """The answer to a message that asks for nothing."""
+    """Acknowledges a message that has no other reply."""
 
 
 register_messages(
--- a/packages/daemon/src/sardinequay_daemon/serving_metrics.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a host that serves requests of any shape."""
+"""Metrics of a host that serves requests of any kind."""
 
 from .metrics import HostMetrics
 
@@ -8,13 +8,14 @@
 
 
 MAX_ORGANISATIONS = 50
-"""Organisations with a label of their own; further ones share one."""
+"""Maximum number of organisations with a label of their own; further ones share a
+label."""
 
 OTHER_ORGANISATIONS = "others"
 
 
 class ServingMetrics(HostMetrics):
-    """Counters, gauges and latency histograms; each names its unit."""
+    """Counters, gauges and latency histograms; each name contains its unit."""
 
     def __init__(self, host_id: str, data_centre: str) -> None:
         super().__init__(host_id, data_centre)
@@ -48,7 +49,7 @@
         )
 
     def organisation_label(self, name: str) -> str:
-        """Return the label under which an organisation is counted."""
+        """Return the metric label of an organisation."""
         if name not in self.organisations and len(self.organisations) >= (
             MAX_ORGANISATIONS
         ):
--- a/packages/daemon/src/sardinequay_daemon/span_export.py
+++ b/packages/daemon/src/sardinequay_daemon/span_export.py
@@ -1,7 +1,7 @@
-"""Sends finished spans where the settings say.
+"""Export of finished spans to the destinations in the settings.
 
-Imported only where they name a destination: few hosts trace, and the library's SDK
-takes memory and time at each start.
+This module is imported only if the settings name a destination: few hosts trace, and
+the SDK of the library takes memory and time at each start.
 """
 
 import json
@@ -39,10 +39,10 @@
 
 
 def create_exporters(settings: TraceSettings) -> list[SpanExporter]:
-    """Return where spans go."""
+    """Return the exporters for the destinations in the settings."""
     chosen: list[SpanExporter] = []
     if settings.otlp:
-        # Imported where it is asked for: it loads a whole HTTP client.
+        # Imported only when needed, because it loads an HTTP client library.
         from opentelemetry.exporter.otlp.proto.http.trace_exporter import (
             OTLPSpanExporter,
         )
@@ -54,7 +54,7 @@
 
 
 def create_tracer_provider(settings: TraceSettings, host_id: str) -> TracerProvider:
-    """Return what makes spans that are sent to the destinations of the settings."""
+    """Return a tracer provider that exports spans as the settings say."""
     provider = TracerProvider(
         sampler=ParentBasedTraceIdRatio(settings.sample),
         resource=Resource({"service.name": "sardinequayd", "host.name": host_id}),
--- a/packages/daemon/src/sardinequay_daemon/store_task.py
+++ b/packages/daemon/src/sardinequay_daemon/store_task.py
@@ -1,8 +1,8 @@
-"""Follows the metadata store, directly or through peers that do.
+"""Catalogue updates from the metadata store, read directly or received from peers.
 
-A few hosts of each data centre read the store; the others take what those know. A host
-that hears of no fresh reader reads for itself, so a host that is cut off from its
-reader falls behind for a moment only.
+A few hosts of each data centre read the store; the others receive its items from them.
+A host without a peer that read the store recently reads it itself, so a host that is
+cut off from its reader is out of date only for a moment.
 """
 
 import asyncio
@@ -33,56 +33,64 @@
 from .serving_ports import MetadataStore, StoreItem, StoreRead
 
 WATCH_TIMEOUT = seconds(1)
-"""How long a watch waits; only its end shows that a connection went silent."""
+"""Duration of a watch; only its end shows that a connection is dead."""
 
 BATCH_PAUSE_S = 0.3
-"""Between two watches: entries change several times a second, calls are counted."""
+"""Pause between two watches, in seconds: entries change several times a second, and
+calls to the store must stay few."""
 
 RETRY_DELAYS_S = (0.1, 0.25, 0.5, 0.5, 1.0)
-"""Pauses after failed reads; at most a second, since changes must be followed fast."""
+"""Delays after consecutive failed reads, in seconds; at most a second, because changes
+must be picked up fast."""
 
 LARGE_LISTING_MBIT = 8.0
-"""A configuration of its largest size. Peers pass it on compressed to a tenth."""
+"""Size of a listing with the largest configuration, in Mbit. Peers send it compressed
+to a tenth."""
 
 MAX_HEAD_START_S = 0.5
-"""How long a host that starts again waits at most for what peers know, in seconds."""
+"""Longest time for which a restarting host waits for peers to send what they know, in
+seconds."""
 
 FRESH_READER_AGE_S = 2.0
-"""A reader that heard the store within this is relied on: a watch and its bound."""
+"""A reader that read the store within this time, in seconds, is relied on: it covers
+one watch with its timeout."""
 
 READER_CHECK_PERIOD_S = 0.1
-"""How often a host that does not read looks whether it must."""
+"""Period in which a host that does not read checks whether it must, in seconds."""
 
 RENEWAL_ANNOUNCEMENT_PERIOD = seconds(2)
-"""How often peers are told of a revision that brought nothing but renewed entries: all
-hosts would fetch dozens of entries a second that say what they know already."""
+"""Minimum time between announcements of revisions that only renewed entries: otherwise
+all hosts would fetch dozens of entries a second that contain nothing new."""
 
 LAPSE_OUTAGE_S = 2.0
-"""Once nobody has heard the store for so long, entries may have lapsed in it: a target
-renews its own about every 1.2 s, and it lapses after three renewals that failed. After
-a shorter trouble an entry that vanished is one of a target that leaves."""
+"""Duration of an outage, in seconds, from which on entries may have lapsed in the
+store: a target renews its entry about every 1.2 s, and the entry lapses after three
+failed renewals. After a shorter outage a missing entry belongs to a target that is
+leaving."""
 
 MAX_RECENT_ITEMS = 512
-"""Changed items kept for peers that lag; older ones cost a whole listing."""
+"""Maximum number of removed items kept for peers that lag; a peer with an older
+revision gets a whole listing."""
 
 MAX_UNREADABLE_LOGGED = 200
-"""Items not understood that are logged; a writer gone wrong must not fill the log."""
+"""Maximum number of undecodable items that are logged; a faulty writer must not fill
+the log."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class StoreStatus:
-    """What this host tells its peers of the store.
+    """Revisions and age of the store's state at this host, as reported to peers.
 
     Parameters
     ----------
     revision : int
-        The newest revision that it knows of.
+        Newest revision that it knows of.
     news_revision : int
-        Up to where it knows something that peers should fetch.
+        Newest revision that peers should fetch; later ones only renewed entries.
     age_s : float
-        How long ago it heard the store itself, in seconds; infinite if never.
+        Time since it last read the store itself, in seconds; infinite if never.
     """
 
     revision: int
@@ -91,15 +99,22 @@
 
 
 class StoreTask:
-    """Owns the catalogue and the store's items.
+    """Owns the catalogue and the items of the store.
 
     Parameters
     ----------
+    entry_return_time : timedelta
+        Time after an outage within which targets can have written lapsed entries again.
+    is_reader : callable
+        Returns whether this host reads the store for its data centre.
+    freshest_peer_age_s : callable
+        Returns the time since any peer last read the store, in seconds.
     has_hub : callable
-        Returns whether others read for this host, also when the store is in trouble.
+        Returns whether other hosts read for this one, even during an outage of the
+        store.
     head_start_s : float
-        How long peers may tell what they know before this host lists the store, in
-        seconds.
+        Time for which peers may send what they know before this host lists the store,
+        in seconds.
     """
 
     def __init__(
@@ -136,11 +151,9 @@
 
     @property
     def catalogue(self) -> Catalogue:
-        """Return what is known now."""
+        """Return the current catalogue."""
         return self.catalogues.value
 
-    # Reading.
-
     async def run(self) -> None:
         """Follow the store for good."""
         await self.wait_for_peer_items(self.head_start_s)
@@ -152,7 +165,7 @@
             await self.read_once()
 
     async def wait_for_peer_items(self, within_s: float) -> bool:
-        """Return whether a peer tells within a time what the store holds."""
+        """Return whether a peer sends items of the store within a time."""
         try:
             async with asyncio.timeout(within_s):
                 return await self.peer_has_items.wait()
@@ -160,10 +173,10 @@
             return False
 
     async def list_unless_peer_replies(self) -> Result[StoreRead, PlatformError] | None:
-        """List the store; None if a peer told what it holds before that was done.
+        """List the store; return None if a peer sends its items before that is done.
 
-        On a slow link a listing of a large configuration takes seconds, and what peers
-        tell comes no sooner beside it.
+        On a slow link a listing of a large configuration takes seconds, and items from
+        peers that share the link with it arrive no sooner.
         """
         listing = asyncio.create_task(self.store.list_all())
         telling = asyncio.create_task(self.peer_has_items.wait())
@@ -175,7 +188,7 @@
             telling.cancel()
 
     def may_rely_on_peers(self) -> bool:
-        """Return whether another host's reading is enough."""
+        """Return whether reads by other hosts are enough."""
         is_known = self.catalogue.config is not None
         return (
             is_known
@@ -184,13 +197,13 @@
         )
 
     async def read_once(self) -> None:
-        """List, or watch once; then pause."""
+        """List the store or watch it once, then pause."""
         if self.must_list:
             self.peer_has_items.clear()
-            told = await self.list_unless_peer_replies()
-            if told is None:
+            listing = await self.list_unless_peer_replies()
+            if listing is None:
                 return
-            read = told
+            read = listing
         else:
             read = await self.store.watch(self.catalogue.revision, WATCH_TIMEOUT)
         if isinstance(read, Success):
@@ -200,7 +213,7 @@
         await self.handle_read_failure(read.failure())
 
     def apply_read(self, read: StoreRead, is_whole: bool) -> None:
-        """Take what a read gave."""
+        """Apply the result of a read and record the end of an outage."""
         now = self.clock.monotonic()
         if self.failures:
             log.info("store regained", extra={"failures": self.failures})
@@ -209,7 +222,7 @@
         self.failures = 0
         self.last_read_at = now
         if read.revision < self.catalogue.revision:
-            # An answer older than what is known already says nothing new.
+            # A result older than the catalogue must not replace it.
             log.warning(
                 "store answered with an older state",
                 extra={"revision": read.revision, "known": self.catalogue.revision},
@@ -224,7 +237,7 @@
         self.expire_unconfirmed()
 
     async def handle_read_failure(self, error: PlatformError) -> None:
-        """Take a failed read, and pause before the next."""
+        """Record a failed read and wait before the next."""
         if error.is_history_gone:
             log.info("store lost its history", extra={"detail": error.detail})
             self.must_list = True
@@ -236,10 +249,8 @@
         self.expire_unconfirmed()
         await asyncio.sleep(pause_s * self.random.uniform(0.75, 1.25))
 
-    # Folding.
-
     def absence_rule(self) -> RemovalPolicy:
-        """Return how a vanished entry is to be taken now."""
+        """Return how to treat entries that are missing from the store now."""
         now = self.clock.monotonic()
         if self.failures and self.outage_s() >= LAPSE_OUTAGE_S:
             return RemovalPolicy(now + self.entry_return_time)
@@ -248,11 +259,11 @@
         return RemovalPolicy()
 
     def outage_s(self) -> float:
-        """Return for how long neither this host nor a peer has heard the store."""
+        """Return the time since this host or a peer last read the store, in seconds."""
         return min(self.status().age_s, self.freshest_peer_age_s())
 
     def apply_listing(self, read: StoreRead) -> None:
-        """Take a complete listing."""
+        """Replace all items by a complete listing."""
         listed = {item.key: item for item in read.items}
         for key, item in self.items.items():
             if key not in listed:
@@ -266,7 +277,7 @@
         )
 
     def apply_changes(self, items: tuple[StoreItem, ...], revision: int) -> None:
-        """Take items that changed, in order."""
+        """Apply changed items in order."""
         catalogue = self.catalogue
         for item in items:
             self.save_item(item)
@@ -278,7 +289,7 @@
         )
 
     def save_item(self, item: StoreItem) -> None:
-        """Keep an item for peers."""
+        """Save an item, or its removal, for peers that fetch items."""
         if item.value is None:
             self.items.pop(item.key, None)
             self.removed.pop(item.key, None)
@@ -290,7 +301,7 @@
             self.removed.pop(item.key, None)
 
     def decode(self, item: StoreItem) -> Change | None:
-        """Decode an item; one that is not understood is logged and left out."""
+        """Decode an item; an undecodable one is logged and skipped."""
         try:
             change = self.store.decode(item)
         except PlatformError as error:
@@ -303,14 +314,14 @@
         return change
 
     def log_unreadable(self, key: str, detail: str) -> None:
-        """Log an item that is not understood: once until it is, for so many items."""
+        """Log an undecodable item once, up to a maximum number of items."""
         if key in self.unreadable or len(self.unreadable) >= MAX_UNREADABLE_LOGGED:
             return
         self.unreadable.add(key)
         log.error("item not understood", extra={"key": key, "detail": detail})
 
     def publish_catalogue(self, catalogue: Catalogue) -> None:
-        """Make a catalogue known if it says anything new."""
+        """Publish a catalogue if it differs from the current one."""
         before = self.catalogue
         if catalogue == before:
             return
@@ -324,18 +335,25 @@
         self.catalogues.on_next(catalogue)
 
     def log_changes(self, before: Catalogue, after: Catalogue) -> None:
-        """Log what this host now believes otherwise."""
-        old = before.config.version if before.config else 0
-        new = after.config.version if after.config else 0
-        if new != old:
+        """Log changes of the configuration version and of the targets' states."""
+        old_version = before.config.version if before.config else 0
+        new_version = after.config.version if after.config else 0
+        if new_version != old_version:
             log.info(
                 "configuration in force",
-                extra={"version": new, "before": old, "revision": after.revision},
+                extra={
+                    "version": new_version,
+                    "before": old_version,
+                    "revision": after.revision,
+                },
             )
         for target_id in {*before.targets, *after.targets}:
-            was, now = before.targets.get(target_id), after.targets.get(target_id)
-            old_state = was.target.presence.value if was else "absent"
-            new_state = now.target.presence.value if now else "absent"
+            old_target, new_target = (
+                before.targets.get(target_id),
+                after.targets.get(target_id),
+            )
+            old_state = old_target.target.presence.value if old_target else "absent"
+            new_state = new_target.target.presence.value if new_target else "absent"
             if target_id in after.unconfirmed and target_id not in before.unconfirmed:
                 new_state = "unconfirmed"
             if old_state != new_state:
@@ -350,36 +368,34 @@
                 )
 
     def expire_unconfirmed(self) -> None:
-        """Drop targets whose entries did not come back.
+        """Remove targets whose entries did not return in time.
 
-        While the store is in trouble no entry can come back.
+        During an outage no entry can return, so none is removed.
         """
         if self.catalogue.unconfirmed and not self.failures:
             self.publish_catalogue(
                 expire_unconfirmed(self.catalogue, self.clock.monotonic())
             )
 
-    # Peers.
-
     def status(self) -> StoreStatus:
-        """Return what to tell peers."""
-        heard = self.last_read_at
-        age = float("inf")
-        if heard is not None:
-            age = (self.clock.monotonic() - heard).total_seconds()
-        return StoreStatus(self.newest_revision, self.announced_revision, age)
+        """Return the status to report to peers."""
+        last_read_at = self.last_read_at
+        age_s = float("inf")
+        if last_read_at is not None:
+            age_s = (self.clock.monotonic() - last_read_at).total_seconds()
+        return StoreStatus(self.newest_revision, self.announced_revision, age_s)
 
     @property
     def newest_revision(self) -> int:
-        """Return the newest revision of the store that any host is known to know."""
+        """Return the newest revision of the store known to this host or its peers."""
         return max(self.catalogue.revision, self.peer_revision)
 
     def record_peer_revision(self, revision: int) -> None:
-        """Take the newest revision that a peer knows of."""
+        """Record the newest revision that a peer knows of."""
         self.peer_revision = max(self.peer_revision, revision)
 
     async def handle_fetch(self, message: FetchItems) -> ItemsReply:
-        """Give a peer what changed after the revision that it knows."""
+        """Return the items that changed after the revision that a peer has."""
         oldest = min((i.revision for i in self.removed.values()), default=0)
         is_whole = message.after == 0 or (
             len(self.removed) >= MAX_RECENT_ITEMS and message.after < oldest
@@ -394,7 +410,7 @@
         return ItemsReply(tuple(items), self.catalogue.revision, is_whole)
 
     def apply_peer_items(self, reply: ItemsReply) -> None:
-        """Take a peer's items if they are newer than what is known."""
+        """Apply a peer's items if they are newer than the catalogue."""
         if reply.revision <= self.catalogue.revision:
             return
         read = StoreRead(reply.items, reply.revision)
@@ -407,10 +423,11 @@
 
 
 def head_start_s(link_mbps: float, is_first_start: bool) -> float:
-    """Return how long peers may tell what they know before a host lists, in seconds.
+    """Return how long peers may send items before a restarting host lists, in seconds.
 
-    The slower its link, the longer: of hosts that start together those with fast links
-    list the store at once and tell the others. Nobody knows anything at a first start.
+    The time grows with the slowness of the link: of hosts that start together, those
+    with fast links list the store at once and send its items to the others. At a first
+    start no peer knows any items.
     """
     if is_first_start or link_mbps <= 0:
         return 0.0
--- a/packages/daemon/src/sardinequay_daemon/tracing.py
+++ b/packages/daemon/src/sardinequay_daemon/tracing.py
@@ -1,4 +1,4 @@
-"""Traces: a span for each hop, with W3C context in and out."""
+"""Traces: one span per hop, with W3C trace context received and propagated."""
 
 from collections.abc import Callable, Mapping
 
@@ -21,7 +21,7 @@
 
 
 class Tracing:
-    """Makes spans and carries their context over HTTP headers."""
+    """Creates spans and propagates their context in HTTP headers."""
 
     def __init__(self, settings: TraceSettings, host_id: str) -> None:
         self.is_exporting = bool(settings.otlp or settings.file)
@@ -35,9 +35,9 @@
             self.tracer = provider.get_tracer("sardinequay")
 
     def server_span(self, name: str, headers: Mapping[str, str]) -> Span:
-        """Start the span of a request that came with these headers.
+        """Start the span of a request that was received with these headers.
 
-        Without a destination the span only carries the caller's context on.
+        If spans are not exported, it only propagates the caller's context.
         """
         if not self.is_exporting and TRACE_HEADER not in headers:
             return INVALID_SPAN
@@ -54,7 +54,7 @@
         return self.tracer.start_span(name, context, kind=SpanKind.CLIENT)
 
     def propagation_headers(self, span: Span) -> dict[str, str]:
-        """Return the headers that carry a span's context on."""
+        """Return the headers that propagate a span's context."""
         carrier: dict[str, str] = {}
         if span is not INVALID_SPAN:
             TRACE_CONTEXT_PROPAGATOR.inject(carrier, set_span_in_context(span))
@@ -62,5 +62,5 @@
 
 
 def trace_id(span: Span) -> str:
-    """Return a span's trace id as logs and answers show it."""
+    """Return a span's trace id in the form used in logs and answers."""
     return f"{span.get_span_context().trace_id:032x}"
--- a/packages/daemon/src/sardinequay_daemon/wire.py
+++ b/packages/daemon/src/sardinequay_daemon/wire.py
@@ -1,6 +1,7 @@
-"""Frames between entry hosts: msgpack arrays of kind, correlation, tag and body.
+"""Encoding of the frames between entry hosts.
 
-A body that is not small is compressed: leases and claims repeat the same names.
+A frame is a msgpack array of kind, correlation, tag, body and compression flag. Bodies
+from `COMPRESS_FROM_BYTES` on are compressed: leases and claims repeat the same names.
 """
 
 import zlib
@@ -19,21 +20,22 @@
 COMPRESSION_LEVEL = 1
 MAX_BODY_BYTES = 64 * 1024 * 1024
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Above the largest honest frame: a page of a handover, or the leaves of a bundle."""
+"""Above the largest valid frame: a page of a handover, or the leaves of a bundle."""
 
 
 BY_TAG: dict[str, type] = {}
-"""Types of messages by their tag. Modules that define messages enter them, so that a
-host loads only those that it speaks, and starts sooner."""
+"""Message types by tag, which is the name of the class. Each module that defines
+messages registers them here, so that a host imports only the messages that it uses and
+starts sooner."""
 
 
-def register_messages(kinds: Iterable[type]) -> None:
-    """Enter types of messages that frames may carry."""
-    BY_TAG.update({kind.__name__: kind for kind in kinds})
+def register_messages(message_types: Iterable[type]) -> None:
+    """Register message types that frames may carry."""
+    BY_TAG.update({t.__name__: t for t in message_types})
 
 
 class FrameKind(IntEnum):
-    """What a frame is."""
+    """Purpose of a frame."""
 
     REQUEST = 0
     REPLY = 1
@@ -43,7 +45,7 @@
 
 @dataclass(unsafe_hash=True)
 class FrameError(DaemonError):
-    """Bytes that are no frame, or a message that is not known."""
+    """Invalid frame, or a message that is unknown or does not match its type."""
 
     detail: str
 
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame; `body` is the packed message, compressed or not."""
+    """One frame; `body` is the packed message, possibly compressed."""
 
     kind: FrameKind
     correlation: int
@@ -63,7 +65,7 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return a frame's bytes."""
+    """Return the bytes of a frame."""
     parts = (
         int(frame.kind),
         frame.correlation,
@@ -76,7 +78,7 @@
 
 
 def encode_message(kind: FrameKind, correlation: int, message: Any) -> Frame:
-    """Return the frame that carries a message."""
+    """Pack a message into a frame, compressed if it is large."""
     body = msgspec.msgpack.encode(message)
     tag = type(message).__name__
     if len(body) < COMPRESS_FROM_BYTES:
@@ -86,7 +88,7 @@
 
 
 def decompress_body(frame: Frame) -> bytes:
-    """Return a frame's body as it was before it was compressed."""
+    """Return the body of a frame, decompressed if necessary."""
     if not frame.is_compressed:
         return frame.body
     unpacker = zlib.decompressobj()
@@ -100,24 +102,24 @@
 
 
 def decode_message(frame: Frame) -> Any:
-    """Return the message that a frame carries, checked against its type."""
-    kind = BY_TAG.get(frame.tag)
-    if kind is None:
+    """Unpack the message of a frame, validated against its type."""
+    message_type = BY_TAG.get(frame.tag)
+    if message_type is None:
         raise FrameError(f"unknown message {frame.tag!r}")
     try:
-        return msgspec.msgpack.decode(decompress_body(frame), type=kind)
+        return msgspec.msgpack.decode(decompress_body(frame), type=message_type)
     except msgspec.DecodeError as error:
         raise FrameError(f"{frame.tag}: {error}") from error
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self.unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Take bytes and yield the frames that they complete."""
+        """Add received bytes and yield the frames that are complete."""
         try:
             self.unpacker.feed(data)
             for item in self.unpacker:
@@ -127,12 +129,12 @@
 
 
 def parse_frame(item: Any) -> Frame:
-    """Check one unpacked item's shape."""
+    """Validate the parts of an unpacked frame."""
     if not isinstance(item, list) or len(item) != FRAME_PARTS:
-        raise FrameError(f"a frame has {FRAME_PARTS} parts")
+        raise FrameError(f"frame is not an array of {FRAME_PARTS} parts")
     kind, correlation, tag, body, is_compressed = item
     if not (isinstance(correlation, int) and isinstance(tag, str)):
-        raise FrameError("wrong types in a frame")
+        raise FrameError("correlation or tag of a frame has the wrong type")
     if not (isinstance(body, bytes) and isinstance(is_compressed, bool)):
-        raise FrameError("wrong type of a frame's body")
+        raise FrameError("body or compression flag of a frame has the wrong type")
     return Frame(FrameKind(kind), correlation, tag, body, is_compressed)
--- a/packages/daemon/tests/test_bounded_log.py
+++ b/packages/daemon/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Logs that never block: bounded in rate and in space, with what was left out told."""
+"""Non-blocking logs: bounded in rate and size; dropped lines are counted."""
 
 import json
 import logging
@@ -59,7 +59,9 @@
     assert found["unread_tokens"] == 7
 
 
-def test_lines_beyond_the_rate_are_counted_and_told(output, pipe, clock) -> None:
+def test_lines_above_the_rate_limit_are_counted_and_reported(
+    output, pipe, clock
+) -> None:
     for _ in range(int(MAX_BURST_LINES) + 50):
         output.emit(line("x"))
     assert output.left_out_lines == 50
@@ -71,7 +73,7 @@
     assert found[0]["count"] == 50
 
 
-def test_reader_that_does_not_read_blocks_nothing(output, clock) -> None:
+def test_stalled_reader_does_not_block_logging(output, clock) -> None:
     text = "y" * 10_000
     for _ in range(400):
         clock.advance(1)
@@ -80,7 +82,7 @@
     assert output.pending_bytes < MAX_PENDING_BYTES + 20_000
 
 
-def test_waiting_lines_arrive_whole_once_somebody_reads(output, pipe, clock) -> None:
+def test_queued_lines_are_written_whole_to_a_slow_reader(output, pipe, clock) -> None:
     for n in range(60):
         clock.advance(1)
         output.emit(line("z" * 3000, n=n))
@@ -94,7 +96,7 @@
     assert [x["n"] for x in lines] == list(range(60))
 
 
-def test_closed_reader_is_no_error(clock: ManualClock) -> None:
+def test_closed_reader_raises_no_error(clock: ManualClock) -> None:
     reading, writing = os.pipe()
     made = NonBlockingLogHandler(clock, writing)
     os.close(reading)
--- a/packages/daemon/tests/test_events.py
+++ b/packages/daemon/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Cutting server-sent events, and putting whole answers together."""
+"""Splitting of server-sent events, and assembly of chunks to a whole answer."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 @given(st.integers(1, len(STREAM)))
-def test_events_are_whole_wherever_the_bytes_are_cut(size: int) -> None:
+def test_events_are_whole_for_any_chunk_size(size: int) -> None:
     cutter = EventSplitter()
     pieces = [STREAM[i : i + size] for i in range(0, len(STREAM), size)]
     events = [e for e in map(cutter.feed, pieces) if e is not None]
@@ -23,7 +23,7 @@
     assert all(e.data.endswith(b"\n\n") for e in events)
 
 
-def test_event_without_end_is_bounded() -> None:
+def test_event_above_the_size_limit_is_rejected() -> None:
     cutter = EventSplitter()
     with pytest.raises(ValueError, match="limit"):
         cutter.feed(b"x" * (MAX_EVENT_BYTES + 1))
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -1,4 +1,4 @@
-"""Knowing the other hosts: who is alive, who votes, who orders, who reads."""
+"""FleetTask: liveness, voters, keepers and joining, on virtual time."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -39,14 +39,14 @@
 
 @pytest.fixture
 def fleet(clock: ManualClock, metrics, timing) -> FleetTask:
-    caller = PeerClient(timing, metrics, "127.0.0.1")
+    peer_client = PeerClient(timing, metrics, "127.0.0.1")
     seeds = (parse_address("127.0.0.1:12").unwrap(),)
     return FleetTask(
-        ME, seeds, caller, clock, timedelta(seconds=30), lambda _: digest("h1")
+        ME, seeds, peer_client, clock, timedelta(seconds=30), lambda _: digest("h1")
     )
 
 
-def test_heard_peers_are_alive_until_they_fall_silent(fleet, clock) -> None:
+def test_peers_are_live_until_the_silence_timeout(fleet, clock) -> None:
     fleet.handle_digest(digest("h2"))
     fleet.handle_digest(digest("h3", "zb"))
     assert fleet.live_hosts == 3
@@ -54,7 +54,7 @@
     assert fleet.live_hosts == 1
 
 
-def test_silent_peer_still_counts_among_the_voters(fleet, clock) -> None:
+def test_silent_peer_is_a_voter_until_it_is_removed(fleet, clock) -> None:
     fleet.handle_digest(digest("h2"))
     fleet.handle_digest(digest("h3", "zb"))
     clock.advance(20)
@@ -65,7 +65,7 @@
     assert fleet.voters(LEASE) == ()
 
 
-def test_leaving_peer_counts_until_its_votes_have_run_out(fleet, clock) -> None:
+def test_leaving_peer_is_a_voter_until_its_votes_expire(fleet, clock) -> None:
     fleet.handle_digest(digest("h2"))
     fleet.handle_digest(digest("h2", is_leaving=True))
     clock.advance(0.9)
@@ -78,7 +78,7 @@
     assert fleet.leaving_hosts() == ()
 
 
-def test_host_that_hears_nobody_does_not_vote_for_long(fleet, clock) -> None:
+def test_host_without_peers_joins_after_the_alone_timeout(fleet, clock) -> None:
     assert not fleet.has_joined()
     clock.advance(5)
     assert not fleet.has_joined()
@@ -86,7 +86,7 @@
     assert fleet.has_joined()
 
 
-def test_host_that_joined_votes_after_it_knows_the_others(fleet, clock) -> None:
+def test_host_joins_one_second_after_the_first_digest(fleet, clock) -> None:
     fleet.handle_digest(digest("h2"))
     assert not fleet.has_joined()
     clock.advance(1.1)
@@ -101,7 +101,7 @@
     assert fleet.keeper_of("zb").contact.host_id == "h3"
 
 
-def test_suspected_peer_is_not_alive_until_heard_again(fleet) -> None:
+def test_peer_marked_lost_is_live_again_after_a_digest(fleet) -> None:
     fleet.handle_digest(digest("h2"))
     fleet.mark_lost(HostId("h2"))
     assert fleet.live_hosts == 1
@@ -114,22 +114,24 @@
     readers = 0
     for me in names:
         mine = digest(me).host
-        caller = PeerClient(timing, metrics, "127.0.0.1")
-        made = FleetTask(mine, (), caller, clock, timedelta(30), lambda _: digest("h1"))
+        peer_client = PeerClient(timing, metrics, "127.0.0.1")
+        fleet = FleetTask(
+            mine, (), peer_client, clock, timedelta(30), lambda _: digest("h1")
+        )
         for other in names:
-            made.handle_digest(digest(other))
-        readers += made.is_reader()
+            fleet.handle_digest(digest(other))
+        readers += fleet.is_reader()
     assert readers == 1
 
 
-def test_hosts_told_by_peers_are_known_but_not_alive(fleet) -> None:
-    told = digest("h4", "zb").host
-    fleet.handle_digest(digest("h2", contacts=(told,)))
+def test_contacts_from_peers_are_known_but_not_live(fleet) -> None:
+    contact = digest("h4", "zb").host
+    fleet.handle_digest(digest("h2", contacts=(contact,)))
     assert {c.host_id for c in fleet.contacts()} == {"h1", "h2", "h4"}
     assert fleet.live_hosts == 2
 
 
-def test_larger_mesh_is_told_less_often_and_believed_longer(fleet) -> None:
+def test_larger_mesh_has_longer_periods_and_timeouts(fleet) -> None:
     fleet.handle_digest(digest("h2", "zb"))
     small_s = fleet.digest_period_s(is_near=False)
     for n in range(2, 25):
@@ -142,17 +144,17 @@
     assert fleet.silence_timeout(far).total_seconds() > 3 * far_s
 
 
-def test_what_a_host_of_a_mesh_tells_a_second_is_bounded(fleet) -> None:
-    """Replay fleets that grow as long as they are a mesh, with all hosts far away."""
-    told = {}
+def test_digests_per_second_in_a_mesh_are_bounded(fleet) -> None:
+    """Grow a fleet, with all peers far away, up to the largest mesh."""
+    digests_per_s = {}
     for n in range(2, 26):
         fleet.handle_digest(digest(f"h{n}", "zb"))
-        told[n] = len(fleet.peers) / fleet.digest_period_s(is_near=False)
+        digests_per_s[n] = len(fleet.peers) / fleet.digest_period_s(is_near=False)
     assert fleet.is_mesh
-    assert max(told.values()) < 60
+    assert max(digests_per_s.values()) < 60
 
 
-def test_host_that_looks_anew_has_joined_a_second_after_it_heard_one(fleet, clock):
+def test_host_that_restarts_joining_joins_a_second_after_a_digest(fleet, clock):
     fleet.handle_digest(digest("h2"))
     clock.advance(12)
     assert fleet.has_joined()
@@ -166,7 +168,7 @@
     assert fleet.has_joined()
 
 
-def test_leaving_peer_still_orders_until_it_gives_the_lease_back(fleet) -> None:
+def test_leaving_peer_orders_until_it_returns_the_lease(fleet) -> None:
     fleet.handle_digest(
         digest("h2", is_leaving=True, holds_lease=True, orders_in_s=0.0)
     )
@@ -179,20 +181,20 @@
 
 @pytest.fixture
 def restarts(fleet: FleetTask) -> list[bool]:
-    """Whether each digest that was heard tells of a restart."""
-    heard: list[bool] = []
-    fleet.digests.subscribe(lambda h: heard.append(h.has_restarted))
-    return heard
+    """List for each handled digest whether it was taken for a restart."""
+    restarted: list[bool] = []
+    fleet.digests.subscribe(lambda h: restarted.append(h.has_restarted))
+    return restarted
 
 
-def test_peer_that_started_anew_is_noticed(fleet, restarts) -> None:
+def test_restart_of_a_peer_is_detected(fleet, restarts) -> None:
     fleet.handle_digest(digest("h2", up_s=7.0))
     fleet.handle_digest(digest("h2", up_s=7.2))
     fleet.handle_digest(digest("h2", up_s=0.1))
     assert restarts == [False, False, True]
 
 
-def test_only_a_host_that_is_long_up_tells_of_all(fleet) -> None:
+def test_only_contacts_from_a_host_up_for_long_are_complete(fleet) -> None:
     contacts = (ME,)
     fleet.handle_digest(digest("h2", up_s=0.1, contacts=contacts))
     assert not fleet.has_received_all_contacts
@@ -202,35 +204,36 @@
     assert fleet.has_received_all_contacts
 
 
-def test_digests_out_of_order_tell_of_no_restart(fleet, clock, restarts) -> None:
-    # Two exchanges crossed after a cut was healed: the later answer came first. Taken
-    # for a restart, the second brought all that its sender had ever counted as news,
-    # and hosts refused organisations for seconds that were within their quotas.
+def test_digests_out_of_order_are_no_restart(fleet, clock, restarts) -> None:
+    # After a network partition has healed, two exchanges can cross so that the later
+    # digest arrives first. If the other one counted as a restart, all usage that its
+    # sender ever reported would count as new, and hosts would for seconds refuse
+    # organisations that are within their quotas.
     fleet.handle_digest(digest("h2", up_s=50.02))
     clock.advance(0.006)
     fleet.handle_digest(digest("h2", up_s=50.0))
     assert restarts == [False, False]
 
 
-def test_peer_back_after_a_second_has_restarted(fleet, clock, restarts) -> None:
+def test_shorter_uptime_after_a_second_is_a_restart(fleet, clock, restarts) -> None:
     fleet.handle_digest(digest("h2", up_s=0.2))
     clock.advance(1.0)
     fleet.handle_digest(digest("h2", up_s=0.1))
     assert restarts == [False, True]
 
 
-def heard_over_time(fleet, clock, seed: int, hosts: int) -> None:
-    """Let a host hear others now and then, some of them last a while ago."""
+def handle_random_digests(fleet, clock, seed: int, hosts: int) -> None:
+    """Handle digests at random intervals, so that some peers have become silent."""
     random = Random(seed)
     for n in range(2, hosts + 2):
-        hub = random.random() < 0.2
+        is_hub = random.random() < 0.2
         fleet.handle_digest(
             digest(
                 f"h{n}",
                 random.choice(("za", "zb", "zc")),
-                scope=DigestScope.DATA_CENTRE if hub else DigestScope.HOST,
-                holds_lease=hub,
-                orders_in_s=random.choice((0.0, 3.0, FOREVER)) if hub else FOREVER,
+                scope=DigestScope.DATA_CENTRE if is_hub else DigestScope.HOST,
+                holds_lease=is_hub,
+                orders_in_s=random.choice((0.0, 3.0, FOREVER)) if is_hub else FOREVER,
                 store_age_s=random.choice((0.1, 2.0, FOREVER)),
                 is_leaving=random.random() < 0.1,
             )
@@ -242,10 +245,10 @@
 
 @pytest.mark.parametrize("hosts", [6, 24, 40])
 @pytest.mark.parametrize("seed", range(10))
-def test_who_is_asked_for_is_found_among_those_that_live(
+def test_lookups_consider_exactly_the_live_peers(
     fleet, clock, seed: int, hosts: int
 ) -> None:
-    heard_over_time(fleet, clock, seed, hosts)
+    handle_random_digests(fleet, clock, seed, hosts)
     now = clock.monotonic()
     ages_s = [
         p.store_age_s + (now - p.last_heard_at).total_seconds()
