--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -1,8 +1,8 @@
-"""Hundreds of hosts that know one another over hubs, on virtual time without sockets.
+"""Large fleets that exchange digests over hubs, on virtual time without sockets.
 
-The load pattern: many hosts before a few dozen engines, each of which sends an engine a
-request now and then. What one host sees must be known to all within about a second, and
-what a host spends on it must not grow with the fleet.
+Many hosts serve requests on a few dozen engines, and each host sends a request to each
+engine only now and then. State of one host must reach all others within about a second,
+and the cost for a host must not grow with the fleet.
 """
 
 from collections import Counter
@@ -63,14 +63,14 @@
 
 @dataclass
 class Lease:
-    """Says whether its host holds the lease."""
+    """Order lease that its host holds or not."""
 
     is_holder: bool = False
 
 
 @dataclass
 class Store:
-    """Knows a revision."""
+    """Store task with a known revision."""
 
     age_s: float = 0.1
 
@@ -80,7 +80,7 @@
 
 @dataclass
 class Orders:
-    """Holds what engines hold, told and heard."""
+    """Engine holdings, own and received."""
 
     me: HostId
     lease: Lease = field(default_factory=Lease)
@@ -103,14 +103,19 @@
 
 
 class Host:
-    """One host's view, without its sockets."""
+    """Host with its fleet table and relay state, without sockets."""
 
     def __init__(self, number: int, clock: Clock, seeds: tuple[Address, ...]) -> None:
         data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
         address = Address("127.0.0.1", 1000 + number)
         self.me = Contact(HostId(f"h{number:03}"), data_centre, str(address))
         self.fleet = FleetTask(
-            self.me, seeds, None, clock, timedelta(seconds=30), lambda h: self.tell(h)
+            self.me,
+            seeds,
+            None,
+            clock,
+            timedelta(seconds=30),
+            lambda h: self.build_digest(h),
         )
         self.state = RelayState(
             data_centre, clock, Random(number), RepeatPolicy(), self.fleet
@@ -122,21 +127,21 @@
         )
         self.fleet.holds_lease = lambda: self.orders.lease.is_holder
         self.fleet.digests.subscribe(self.state.apply_digest)
-        self.fleet.digests.subscribe(self.take_contents)
-        self.contents_heard = 0
+        self.fleet.digests.subscribe(self.record_contents)
+        self.contents_received = 0
         self.fleet.digests.subscribe(self.writer.handle_digest)
         self.fleet.lost_peers.subscribe(self.state.forget_peer)
         self.fleet.lost_peers.subscribe(self.writer.reset_sent_state)
         self.is_down = False
         self.next_near = self.next_far = 0.0
 
-    def take_contents(self, heard: ReceivedDigest) -> None:
+    def record_contents(self, heard: ReceivedDigest) -> None:
         for news in heard.digest.contents:
-            self.contents_heard += 1
+            self.contents_received += 1
             apply_content_update(self.state.quarantine, news, heard.received_at)
 
-    def see_end(self, target: str) -> None:
-        """See a target end under a request."""
+    def record_target_end(self, target: str) -> None:
+        """Record that a target ended while it ran a request with the fatal content."""
         now = self.fleet.clock.monotonic()
         end = TargetEnd(TargetId(target), 1, now)
         self.state.quarantine.record_target_end(FATAL, end, now)
@@ -145,12 +150,12 @@
         now = self.fleet.clock.monotonic()
         return bool(self.state.quarantine.remaining_hold(FATAL, now))
 
-    def tell(self, host_id: HostId) -> Digest:
+    def build_digest(self, host_id: HostId) -> Digest:
         return self.writer.build_digest(host_id)
 
 
 class World:
-    """All hosts, and the calls between them."""
+    """All hosts, and the exchanges between them."""
 
     def __init__(self, hosts: int, clock: ManualClock) -> None:
         self.clock = clock
@@ -185,7 +190,7 @@
         return len(places) == 1 or not places & self.cut
 
     def pass_time(self, for_s: float) -> None:
-        """Let each host tell what is due, in small steps."""
+        """Advance the clock in small steps, with the exchanges that are due."""
         for _ in range(round(for_s / STEP_S)):
             self.clock.advance(STEP_S)
             self.elapsed_s += STEP_S
@@ -209,8 +214,8 @@
             host.next_far = self.elapsed_s + fleet.far_period_s()
             fleet.exchange_with_far_peers()
 
-    def choose_holders(self) -> None:
-        """Let one host of each data centre hold its lease."""
+    def assign_leases(self) -> None:
+        """Give one host of each data centre its order lease."""
         for data_centre in DATA_CENTRES:
             self.live(data_centre)[-1].orders.lease.is_holder = True
 
@@ -222,21 +227,21 @@
         return next(h for h in self.live(data_centre) if h.orders.lease.is_holder)
 
 
-def settled(hosts: int, clock: ManualClock) -> World:
-    """Return a fleet that has found itself and chosen holders."""
+def settled_world(hosts: int, clock: ManualClock) -> World:
+    """Return a fleet whose hosts know one another and whose leases are held."""
     world = World(hosts, clock)
     world.pass_time(3)
-    world.choose_holders()
+    world.assign_leases()
     world.pass_time(2)
     return world
 
 
 @pytest.fixture
 def world(clock: ManualClock) -> World:
-    return settled(50, clock)
+    return settled_world(50, clock)
 
 
-def test_every_host_reports_to_the_one_that_orders(world: World) -> None:
+def test_every_host_uses_the_lease_holder_as_hub(world: World) -> None:
     for host in world.hosts:
         holder = world.holder(host.me.data_centre)
         assert host.fleet.hub() == holder.me
@@ -246,7 +251,7 @@
         )
 
 
-def test_requests_of_one_host_are_known_to_all_within_a_second(world: World) -> None:
+def test_load_of_one_host_is_known_to_all_within_a_second(world: World) -> None:
     world.hosts[7].state.loads.record_dispatch(E, 500)
     world.pass_time(1)
     now = world.clock.monotonic()
@@ -254,7 +259,7 @@
         assert host.state.loads.total_share(E, now) == EngineShare(500, 0), host.me
 
 
-def test_each_request_counts_once_while_they_come_and_go(world: World) -> None:
+def test_each_request_counts_once_while_requests_start_and_end(world: World) -> None:
     random = Random(1)
     counts: Counter[int] = Counter()
     for _ in range(20):
@@ -276,18 +281,20 @@
     assert {h.state.loads.total_share(E, now) for h in world.hosts} == {EngineShare()}
 
 
-def test_target_that_fails_at_a_few_hosts_is_left_out_by_all(world: World) -> None:
-    """Replay an engine that fails a third of its requests before fifty hosts."""
+def test_target_that_fails_at_a_few_hosts_is_avoided_by_all(world: World) -> None:
+    """An engine that fails a third of its requests is avoided by all fifty hosts."""
     for host in world.hosts[:6]:
         now = world.clock.monotonic()
         host.state.health.record_result(E, AttemptResult.FAILED, now, now)
     world.pass_time(1)
     now = world.clock.monotonic()
-    believers = [h for h in world.hosts if not h.state.health.tally.is_excluded(E, now)]
-    assert not believers
+    unaware_hosts = [
+        h for h in world.hosts if not h.state.health.tally.is_excluded(E, now)
+    ]
+    assert not unaware_hosts
 
 
-def test_failures_at_one_host_condemn_nothing(world: World) -> None:
+def test_failures_at_one_host_do_not_exclude_a_target(world: World) -> None:
     for _ in range(9):
         now = world.clock.monotonic()
         world.hosts[3].state.health.record_result(E, AttemptResult.FAILED, now, now)
@@ -296,7 +303,7 @@
     assert not any(h.state.health.tally.is_excluded(E, now) for h in world.hosts)
 
 
-def test_what_engines_hold_is_known_to_all_within_a_second(world: World) -> None:
+def test_engine_holdings_are_known_to_all_within_a_second(world: World) -> None:
     holdings = EngineHoldings(E, 5, 1, (A,), {}, (), idle=1)
     world.holder("za").orders.told = (holdings,)
     world.pass_time(1)
@@ -307,7 +314,9 @@
     )
 
 
-def test_uses_elsewhere_reach_the_host_that_orders_the_engine(world: World) -> None:
+def test_remote_adapter_uses_reach_the_host_that_orders_the_engine(
+    world: World,
+) -> None:
     target = Target(
         E, PoolName("p"), TargetKind.ENGINE, DataCentre("za"), Address("::1", 1)
     )
@@ -318,7 +327,7 @@
     users = [h for h in world.hosts if h.me.data_centre == "zc"][:3]
     for user in users:
         user.state.uses.adjust_own_count(E, A, 1)
-        # Told at once, and once more in the sum of the user's hub.
+        # The use arrives at once, and again in the sum of the user's hub.
         keeper.state.uses.apply_peer_count(user.me.host_id, E, A, 1)
     world.pass_time(1)
     assert keeper.state.uses.counts_on(E) == {A: 3}
@@ -328,8 +337,8 @@
     assert not keeper.state.uses.counts_on(E)
 
 
-def test_lost_hub_is_replaced_and_what_is_known_stays(world: World) -> None:
-    """Replay the loss of the host that orders a data centre's engines."""
+def test_lost_hub_is_replaced_without_loss_of_load_shares(world: World) -> None:
+    """The loss of a data centre's lease holder loses no load shares."""
     world.hosts[7].state.loads.record_dispatch(E, 500)
     world.pass_time(1)
     lost = world.holder("zc")
@@ -357,10 +366,8 @@
     assert sum(h.fleet.is_reader() for h in here) == 1
 
 
-def test_data_centre_that_is_cut_off_counts_itself_alone(world: World) -> None:
-    world.hosts[4].state.loads.record_dispatch(
-        E, 700
-    )  # In the data centre that is cut off.
+def test_partitioned_data_centre_counts_only_itself(world: World) -> None:
+    world.hosts[4].state.loads.record_dispatch(E, 700)  # A host in data centre "ze".
     world.pass_time(1)
     world.cut.add("ze")
     world.pass_time(4)
@@ -377,25 +384,25 @@
     assert {h.fleet.live_hosts for h in world.hosts} == {50}
 
 
-def test_restarted_host_is_told_everything_again(world: World, clock) -> None:
+def test_restarted_host_receives_all_state_again(world: World, clock) -> None:
     holdings = EngineHoldings(E, 5, 1, (A,), {}, (), idle=1)
     world.holder("za").orders.told = (holdings,)
     world.pass_time(1)
-    place = next(
+    index = next(
         n for n, h in enumerate(world.hosts) if h.me.data_centre == "zb" and n > 2
     )
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
-    reborn = world.hosts[place] = Host(place, clock, seeds)
-    world.by_address[reborn.me.address] = reborn
-    reborn.fleet.start_exchange = world.starter(reborn)
+    restarted = world.hosts[index] = Host(index, clock, seeds)
+    world.by_address[restarted.me.address] = restarted
+    restarted.fleet.start_exchange = world.starter(restarted)
     world.pass_time(2)
-    assert A in reborn.state.residency.reported[E].adapters
-    assert len(reborn.fleet.contacts()) == 50
-    assert reborn.fleet.live_hosts == 50
+    assert A in restarted.state.residency.reported[E].adapters
+    assert len(restarted.fleet.contacts()) == 50
+    assert restarted.fleet.live_hosts == 50
 
 
 def test_all_hosts_restarted_at_once_find_one_another(clock: ManualClock) -> None:
-    world = settled(50, clock)
+    world = settled_world(50, clock)
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     world.hosts = [Host(n, clock, seeds) for n in range(50)]
     world.by_address = {h.me.address: h for h in world.hosts}
@@ -407,8 +414,8 @@
 
 @pytest.mark.parametrize("hosts", [50, 100])
 def test_cost_of_a_host_does_not_grow_with_the_fleet(hosts: int, clock) -> None:
-    """Replay fleets of three sizes: exchanges a second, of hosts and of hubs."""
-    world = settled(hosts, clock)
+    """Exchanges a second of a host and of a hub stay bounded at two fleet sizes."""
+    world = settled_world(hosts, clock)
     world.calls.clear()
     world.pass_time(3)
     hubs = {world.holder(d).me.host_id for d in DATA_CENTRES}
@@ -420,87 +427,102 @@
     )
 
 
-def test_start_tells_each_host_of_each_other_a_bounded_number_of_times(clock) -> None:
-    """Replay a start: told anew whenever a count changed, it cost hosts cubed."""
+def test_contacts_sent_at_a_start_are_bounded(clock) -> None:
+    """At a start each contact is sent to each host only a few times.
+
+    If all contacts were sent again whenever their number changes, the cost would grow
+    with the cube of the hosts.
+    """
     world = World(50, clock)
-    told: Counter[HostId] = Counter()
+    contacts_received: Counter[HostId] = Counter()
     for host in world.hosts:
         host.fleet.digests.subscribe(
-            lambda heard, me=host.me.host_id: told.update(
+            lambda heard, me=host.me.host_id: contacts_received.update(
                 {me: len(heard.digest.contacts)}
             )
         )
     world.pass_time(4)
-    world.choose_holders()
+    world.assign_leases()
     world.pass_time(4)
     assert {len(h.fleet.contacts()) for h in world.hosts} == {50}
-    # Each neighbour tells of each host about once, as caller and as callee, and a hub
-    # hears the other hubs; everybody asks the seeds.
+    # Each near host sends each contact about once as caller and once as callee, and a
+    # hub receives them from the other hubs too. All hosts call the seeds.
     seeds = {h.me.host_id for h in world.hosts[:3]}
-    assert max(n for h, n in told.items() if h not in seeds) < 50 * (2 * 10 + 2 * 4)
-    assert max(told.values()) < 50 * 50
+    assert max(n for h, n in contacts_received.items() if h not in seeds) < 50 * (
+        2 * 10 + 2 * 4
+    )
+    assert max(contacts_received.values()) < 50 * 50
 
 
-def test_ends_that_two_hosts_saw_hold_a_content_at_all_within_a_second(world) -> None:
-    """Replay a request that ends an engine of one data centre, then of another."""
-    world.live("za")[0].see_end("e1")
+def test_content_that_ended_two_targets_is_held_by_all_within_a_second(world) -> None:
+    """A request ends an engine of one data centre, then an engine of another one."""
+    world.live("za")[0].record_target_end("e1")
     world.pass_time(1)
     assert not any(h.holds() for h in world.hosts)
-    world.live("zd")[2].see_end("e2")
+    world.live("zd")[2].record_target_end("e2")
     world.pass_time(1)
     assert all(h.holds() for h in world.hosts)
-    # Told each change about once by each of its partners, not with every digest.
+    # Each exchange partner sends each change about once, not with every digest.
     world.pass_time(5)
     hubs = [world.holder(d) for d in DATA_CENTRES]
     plain = [h for h in world.hosts if h not in hubs]
-    assert max(h.contents_heard for h in plain) <= 4
-    assert max(h.contents_heard for h in hubs) <= 2 * len(world.live("za") + hubs)
+    assert max(h.contents_received for h in plain) <= 4
+    assert max(h.contents_received for h in hubs) <= 2 * len(world.live("za") + hubs)
 
 
-def test_content_is_held_by_hosts_that_were_cut_off_or_start_anew(world, clock) -> None:
+def test_content_is_held_after_a_partition_or_a_restart(world, clock) -> None:
     world.cut.add("ze")
     world.pass_time(3)
     for target in ("e1", "e2", "e3"):
-        world.live("zb")[1].see_end(target)
+        world.live("zb")[1].record_target_end(target)
     world.pass_time(1)
     assert not any(h.holds() for h in world.live("ze"))
     world.cut.clear()
     world.pass_time(2)
     assert all(h.holds() for h in world.live("ze"))
-    place = next(n for n, h in enumerate(world.hosts) if h is world.live("zc")[1])
+    index = next(n for n, h in enumerate(world.hosts) if h is world.live("zc")[1])
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
-    reborn = world.hosts[place] = Host(place, clock, seeds)
-    world.by_address[reborn.me.address] = reborn
-    reborn.fleet.start_exchange = world.starter(reborn)
+    restarted = world.hosts[index] = Host(index, clock, seeds)
+    world.by_address[restarted.me.address] = restarted
+    restarted.fleet.start_exchange = world.starter(restarted)
     world.pass_time(2)
-    assert reborn.holds()
+    assert restarted.holds()
 
 
-def test_permits_are_given_by_one_of_few_hosts(world: World) -> None:
-    """Hosts that know the same hubs ask the same one, whichever content it is."""
+def test_permits_are_issued_by_one_of_few_hosts(world: World) -> None:
+    """Hosts that know the same hubs choose the same issuer, for any content."""
     for content in ("a", "b", "c"):
-        givers = {rank_members(content, h.fleet.known_to_all())[0] for h in world.hosts}
-        assert len(givers) == 1
-        assert givers <= {world.holder(d).me.host_id for d in DATA_CENTRES}
+        issuers = {
+            rank_members(content, h.fleet.known_to_all())[0] for h in world.hosts
+        }
+        assert len(issuers) == 1
+        assert issuers <= {world.holder(d).me.host_id for d in DATA_CENTRES}
 
 
-def test_hub_hears_parts_and_others_hear_sums(world: World) -> None:
+def test_hub_receives_host_digests_and_sends_sums(world: World) -> None:
     keeper = world.holder("zb")
-    assert DigestScope.FLEET is keeper.tell(world.live("zb")[0].me.host_id).scope
+    assert (
+        DigestScope.FLEET is keeper.build_digest(world.live("zb")[0].me.host_id).scope
+    )
     other = world.holder("zd")
-    assert DigestScope.DATA_CENTRE is keeper.tell(other.me.host_id).scope
+    assert DigestScope.DATA_CENTRE is keeper.build_digest(other.me.host_id).scope
     plain = world.live("zb")[0]
-    assert DigestScope.HOST is plain.tell(keeper.me.host_id).scope
-    assert DigestScope.NOBODY is plain.tell(world.live("zb")[1].me.host_id).scope
-    assert not plain.tell(world.live("zb")[1].me.host_id).shares
-    assert keeper.tell(plain.me.host_id).uses == ()
+    assert DigestScope.HOST is plain.build_digest(keeper.me.host_id).scope
+    assert (
+        DigestScope.NOBODY is plain.build_digest(world.live("zb")[1].me.host_id).scope
+    )
+    assert not plain.build_digest(world.live("zb")[1].me.host_id).shares
+    assert keeper.build_digest(plain.me.host_id).uses == ()
     uses = (AdapterUse(E, A, 1),)
     plain.state.uses.adjust_own_count(E, A, 1)
-    assert plain.tell(keeper.me.host_id).uses == uses
+    assert plain.build_digest(keeper.me.host_id).uses == uses
+
 
+def test_host_lost_by_its_hub_still_counts_as_a_voter(world: World):
+    """A host that is cut off still counts as a voter for a while.
 
-def test_host_that_its_hub_hears_no_more_still_counts_among_voters(world: World):
-    """Replay a cut host: forgotten at once, those left could vote a second holder."""
+    If it were removed at once, the remaining hosts could elect a second lease holder.
+    """
     lost = world.live("zd")[2]
     world.pass_time(32)
     lost.is_down = True
@@ -513,8 +535,11 @@
         }
 
 
-def test_store_heard_by_a_hub_elsewhere_grows_old_with_what_it_told(world: World):
-    """Replay a store that nobody reaches: hosts must not believe it was just heard."""
+def test_store_age_reported_by_another_hub_grows(world: World):
+    """If no host can reach the store, its reported age grows at all hosts.
+
+    Otherwise hosts would believe that another hub has just read the store.
+    """
     for host in world.hosts:
         host.writer.store.age_s = 7.0
     world.pass_time(2)
@@ -522,8 +547,11 @@
         assert host.fleet.freshest_store_age_s() >= FRESH_READER_AGE_S, host.me
 
 
-def test_outage_of_the_store_makes_few_hosts_read(world: World) -> None:
-    """Replay four seconds without the store, which all hosts tried to read at once."""
+def test_store_outage_makes_few_hosts_read(world: World) -> None:
+    """After four seconds without the store, few hosts per data centre try to read.
+
+    Without the limit all hosts try at once.
+    """
     readers = sum(h.fleet.is_reader() for h in world.hosts)
     assert readers == len(DATA_CENTRES)
     for host in world.hosts:
@@ -544,8 +572,8 @@
 )
 
 
-def use(host: Host, requests: int, tokens: int = 1) -> int:
-    """Send a host requests of an organisation; return how many tokens it admits."""
+def admit_requests(host: Host, requests: int, tokens: int = 1) -> int:
+    """Send requests of an organisation to a host; return how many tokens it admits."""
     now = host.fleet.clock.monotonic()
     host.state.count_hosts()
     results = [
@@ -556,7 +584,7 @@
 
 @pytest.fixture
 def with_quota(world: World) -> World:
-    """The fleet with an organisation whose quota has been whole for long."""
+    """Return a fleet with an organisation that has not used its quota recently."""
     for host in world.hosts:
         now = world.clock.monotonic()
         host.state.quotas.ledger.apply_organisations((NORTH,), now)
@@ -564,13 +592,13 @@
     return world
 
 
-def test_what_any_host_admits_counts_at_all_hosts(with_quota: World) -> None:
-    # What a hub told of its data centre was dropped with the parts of the hosts behind
-    # it, each time, so only what a host's own data centre used ever counted: with 28
-    # hosts 1.08 times what a window may hold was admitted.
+def test_usage_admitted_by_any_host_counts_at_all_hosts(with_quota: World) -> None:
+    # If the usage that a hub reports for its data centre is dropped together with that
+    # of the single hosts there, only the usage of a host's own data centre counts. With
+    # 28 hosts, 1.08 times the quota of a window was admitted then.
     world = with_quota
     for host in world.hosts[:40]:
-        use(host, 200)
+        admit_requests(host, 200)
     world.pass_time(1.5)
     for host in (world.hosts[0], world.hosts[41], world.hosts[43]):
         host.state.quotas.ledger.settle_all(world.clock.monotonic())
@@ -578,52 +606,54 @@
         own = usage.own.get(NORTH.name, Usage()).admitted
         hub = host.fleet.hub()
         assert hub != host.me
-        told = usage.sources[hub.host_id].reported_counts[NORTH.name].admitted
-        assert told + own >= 8_000
+        reported = usage.sources[hub.host_id].reported_counts[NORTH.name].admitted
+        assert reported + own >= 8_000
 
 
-def test_sustained_excess_at_all_hosts_gets_the_quota(with_quota: World) -> None:
+def test_sustained_overload_at_all_hosts_is_limited_to_the_quota(
+    with_quota: World,
+) -> None:
     world = with_quota
     admitted = 0
     for _ in range(100):
         for host in world.hosts[::4]:
-            admitted += use(host, 84, tokens=4)
+            admitted += admit_requests(host, 84, tokens=4)
         world.pass_time(STEP_S)
     assert admitted <= (10.0 * 10_000 + 10_000) * 1.25
     assert admitted >= 10.0 * 10_000 * 0.9
 
 
-def test_islands_share_a_quota(with_quota: World) -> None:
+def test_partitioned_hosts_share_a_quota(with_quota: World) -> None:
     world, shares = with_quota, {}
-    islands = (world.hosts[0], world.hosts[1])
-    for host in islands:
+    partitioned_hosts = (world.hosts[0], world.hosts[1])
+    for host in partitioned_hosts:
         host.state.count_hosts()
     world.cut = {"za"}
     world.pass_time(6.0)
-    for host in islands:
+    for host in partitioned_hosts:
         host.state.count_hosts()
         shares[host.me.data_centre] = host.state.quotas.ledger.share
     assert sum(shares.values()) == pytest.approx(1.0, abs=0.05)
 
 
-def test_healed_cut_brings_no_use_of_long_ago(with_quota: World) -> None:
-    # When a data centre that had been cut off was back, its hosts took all that the
-    # others had ever used for used just now, and refused everybody for seconds.
+def test_healed_partition_adds_no_old_usage(with_quota: World) -> None:
+    # After a network partition has healed, hosts must not count all earlier usage of
+    # the other side as recent: they would refuse all organisations for seconds.
     world = with_quota
     most = 0.0
     for step in range(300):
         world.cut = {"za"} if 100 <= step < 150 else set()
         for host in world.hosts[::2]:
-            use(host, 4, tokens=4)
+            admit_requests(host, 4, tokens=4)
         world.pass_time(STEP_S)
         for host in world.hosts:
-            book, now = host.state.quotas.ledger, world.clock.monotonic()
-            account = book.accounts[NORTH.name]
-            most = max(most, book.asked_per_s(NORTH.name, account, now))
+            ledger, now = host.state.quotas.ledger, world.clock.monotonic()
+            account = ledger.accounts[NORTH.name]
+            most = max(most, ledger.asked_per_s(NORTH.name, account, now))
     assert most <= 3 * 25 * 4 * 4 / STEP_S
 
 
-def test_hosts_divide_repeats_by_all_that_lived_before_a_cut(world: World) -> None:
+def test_repeat_budget_counts_hosts_live_before_a_partition(world: World) -> None:
     for host in world.hosts:
         host.state.count_hosts()
     world.cut = {"za"}
@@ -634,7 +664,7 @@
         assert host.state.fleet_size.estimated_hosts() >= 50
 
 
-def test_hosts_divide_repeats_by_all_while_a_hub_is_lost(world: World) -> None:
+def test_repeat_budget_counts_all_hosts_while_a_hub_is_lost(world: World) -> None:
     for host in world.hosts:
         host.state.count_hosts()
     world.holder("za").is_down = True
@@ -645,7 +675,7 @@
             assert host.state.fleet_size.estimated_hosts() >= 50
 
 
-def test_host_that_has_just_started_takes_a_small_part_of_the_repeats(
+def test_just_started_host_takes_a_small_part_of_the_repeat_budget(
     clock: ManualClock,
 ) -> None:
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
--- a/packages/daemon/tests/test_rollout_task.py
+++ b/packages/daemon/tests/test_rollout_task.py
@@ -1,4 +1,4 @@
-"""The rollout task: what it reads, believes, refuses and tells."""
+"""RolloutTask: reading the service, verification and refusal of bundles."""
 
 import asyncio
 from collections.abc import Mapping
@@ -36,7 +36,7 @@
 
 
 class FakeService:
-    """A configuration service whose state a test sets."""
+    """Configuration service with a state set by the test."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -86,11 +86,11 @@
 
 
 @pytest.mark.parametrize("revision", [1, 5])
-async def test_service_whose_revisions_start_again_is_read_again(
+async def test_service_with_restarted_revisions_is_read_again(
     task: RolloutTask, service: FakeService, revision: int
 ) -> None:
-    # Found by soaking: a service that had been replaced counted its revisions from the
-    # start, below the last one read, or up to just that one with another content.
+    # A replaced service counts its revisions from the start. Its current revision may
+    # be below the last one read, or equal to it with another content.
     service.publish(1, revision=5)
     watch = asyncio.create_task(task.watch())
     await in_force(task, 1)
@@ -99,7 +99,7 @@
     watch.cancel()
 
 
-async def test_blob_that_is_not_there_yet_is_asked_for_again(
+async def test_missing_blob_is_fetched_again(
     task: RolloutTask, service: FakeService
 ) -> None:
     service.publish(1, revision=1)
@@ -112,7 +112,7 @@
     watch.cancel()
 
 
-async def test_older_bundle_is_refused_once_in_the_log_and_shown(
+async def test_older_bundle_is_refused_and_logged_once(
     task: RolloutTask, service: FakeService, caplog: pytest.LogCaptureFixture
 ) -> None:
     service.publish(2, revision=1)
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -1,4 +1,4 @@
-"""Following the store: trouble, lost history, peers that know more."""
+"""StoreTask: listings, watches, outages, and items received from peers."""
 
 import asyncio
 from datetime import timedelta
@@ -45,7 +45,7 @@
 
 
 class ScriptedStore:
-    """Gives the answers that a test prepared."""
+    """Store that returns prepared results."""
 
     def __init__(self) -> None:
         self.answers: list = []
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 def peers() -> dict[str, object]:
-    """What this host is told of the others."""
+    """Return what the task learns about other hosts; tests change it."""
     return {"is_reader": True, "age_s": float("inf")}
 
 
@@ -103,19 +103,18 @@
 
 
 class SlowStore(ScriptedStore):
-    """Takes long to list what it holds."""
+    """Store whose listing takes long."""
 
     async def list_all(self):
         self.listings += 1
         await asyncio.sleep(30)
 
 
-async def test_what_a_peer_tells_ends_a_listing_that_takes_long(
-    clock: ManualClock, peers
-) -> None:
-    # All hosts had been killed at once. A listing with a configuration of a megabyte
-    # took longer than its bound on links of 5 Mbit/s, and kept what peers told, a tenth
-    # of that, from coming: hosts were without a configuration 0.9 s after their start.
+async def test_items_from_a_peer_end_a_slow_listing(clock: ManualClock, peers) -> None:
+    # After all hosts were killed at once, a listing with a configuration of a megabyte
+    # took longer than its timeout on links of 5 Mbit/s. It also delayed the items from
+    # peers, a tenth of that size, so that hosts had no configuration 0.9 s after their
+    # start.
     store = SlowStore()
     task = StoreTask(
         store, clock, Random(1), seconds(2), lambda: True, lambda: float("inf")
@@ -129,7 +128,7 @@
     assert not task.must_list
 
 
-async def test_host_that_starts_again_hears_its_peers_first(
+async def test_restarting_host_waits_for_peer_items_first(
     scripted, clock: ManualClock, peers
 ) -> None:
     task = StoreTask(
@@ -174,7 +173,7 @@
     assert task.catalogue.revision == 7
 
 
-async def test_lost_history_means_a_new_listing(task: StoreTask, scripted) -> None:
+async def test_lost_history_causes_a_new_listing(task: StoreTask, scripted) -> None:
     scripted.answers = [read(revision=6), GONE, read(item(3, 9), revision=9)]
     for _ in range(3):
         await task.read_once()
@@ -182,7 +181,7 @@
     assert task.catalogue.config.version == 3
 
 
-async def test_older_answer_changes_nothing(task: StoreTask, scripted) -> None:
+async def test_older_result_is_ignored(task: StoreTask, scripted) -> None:
     scripted.answers = [
         read(item(5, 9), revision=9),
         read(item(4, 4), revision=4),
@@ -193,13 +192,13 @@
     assert task.catalogue.config.version == 5
 
 
-async def test_spoiled_item_does_not_stop_the_others(task, scripted) -> None:
+async def test_undecodable_item_does_not_affect_others(task, scripted) -> None:
     scripted.answers = [read(StoreItem("x", 1, b"spoiled"), item(1, 2), revision=2)]
     await task.read_once()
     assert task.catalogue.config.version == 1
 
 
-async def test_host_with_a_fresh_reader_need_not_read(task, scripted, peers) -> None:
+async def test_host_with_a_fresh_reader_relies_on_peers(task, scripted, peers) -> None:
     assert not task.may_rely_on_peers()
     scripted.answers = [read(item(1, 1), revision=1)]
     await task.read_once()
@@ -209,7 +208,7 @@
     assert not task.may_rely_on_peers()
 
 
-async def test_entries_vanish_at_once_after_a_short_trouble(
+async def test_missing_entries_are_dropped_at_once_after_a_short_outage(
     task, scripted, clock
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED, read(revision=2)]
@@ -222,7 +221,7 @@
     assert task.absence_rule().keep_until is None
 
 
-async def test_vanished_entries_are_kept_around_a_long_outage(
+async def test_missing_entries_are_kept_around_a_long_outage(
     task, scripted, clock
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED, read(revision=2)]
@@ -237,7 +236,7 @@
     assert task.absence_rule().keep_until is None
 
 
-async def test_host_that_alone_is_turned_away_drops_what_peers_drop(
+async def test_host_that_alone_cannot_read_drops_missing_entries(
     task, scripted, clock, peers
 ) -> None:
     scripted.answers = [read(revision=1), REFUSED]
@@ -248,7 +247,7 @@
     assert task.absence_rule().keep_until is None
 
 
-async def test_peer_gives_only_what_changed(task: StoreTask, scripted) -> None:
+async def test_fetch_returns_only_changed_items(task: StoreTask, scripted) -> None:
     scripted.answers = [
         read(item(1, 5), StoreItem("a", 2, b"7"), revision=6),
         read(StoreItem("a", 8, None), revision=8),
@@ -263,7 +262,7 @@
     assert [i.key for i in whole.items] == ["config"]
 
 
-async def test_host_that_starts_while_the_store_is_down_learns_from_a_peer(
+async def test_host_that_starts_in_an_outage_gets_items_from_a_peer(
     task: StoreTask, scripted
 ) -> None:
     scripted.answers = [REFUSED]
@@ -279,7 +278,7 @@
     assert task.catalogue.revision == 9
 
 
-async def test_host_with_a_hub_leaves_trouble_of_the_store_to_it(
+async def test_host_with_a_hub_does_not_read_in_an_outage(
     task, scripted, peers
 ) -> None:
     scripted.answers = [read(item(1, 1), revision=1)]
@@ -292,28 +291,28 @@
     assert not task.may_rely_on_peers()
 
 
-async def test_peers_are_told_of_renewed_entries_now_and_then(
+async def test_renewed_entries_are_announced_only_now_and_then(
     task: StoreTask, scripted: ScriptedStore, clock: ManualClock
 ) -> None:
-    # 30 engines renew their entries each second or so, and 87 hosts fetched them four
-    # times a second.
+    # 30 engines renew their entries about once a second. If each renewal were
+    # announced, each of 87 hosts would fetch the entries four times a second.
     clock.advance(10)
     scripted.answers = [read(entry(1, 5), revision=5)]
     scripted.answers += [read(entry(1, r), revision=r) for r in range(6, 16)]
-    told = []
+    announced = []
     for _ in range(11):
         await task.read_once()
-        told.append(task.status().news_revision)
+        announced.append(task.status().news_revision)
         assert task.status().revision == task.catalogue.revision
         clock.advance(0.3)
-    assert told[0] == 5
-    assert len(set(told)) == 2
+    assert announced[0] == 5
+    assert len(set(announced)) == 2
     assert task.catalogue.revision == 15
     reply = await task.handle_fetch(FetchItems(5))
     assert reply.revision == 15
 
 
-async def test_peers_are_told_of_a_changed_entry_at_once(
+async def test_changed_entry_is_announced_at_once(
     task: StoreTask, scripted: ScriptedStore, clock: ManualClock
 ) -> None:
     scripted.answers = [
@@ -327,7 +326,7 @@
     assert task.status().news_revision == 7
 
 
-async def test_a_later_revision_of_which_a_peer_tells_is_passed_on(
+async def test_newer_revision_reported_by_a_peer_is_passed_on(
     task: StoreTask, scripted: ScriptedStore
 ) -> None:
     scripted.answers = [read(entry(1, 5), revision=5)]
--- a/packages/daemon/tests/test_tracing.py
+++ b/packages/daemon/tests/test_tracing.py
@@ -1,4 +1,4 @@
-"""Spans: a span a hop where they are sent somewhere, else only their context."""
+"""Spans: exported for each hop if a destination is set, else only propagated."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 CALLER = {"traceparent": f"00-{TRACE}-b7ad6b7169203331-01"}
 
 
-def test_spans_of_both_hops_go_to_the_file(tmp_path: Path) -> None:
+def test_spans_of_both_hops_are_written_to_the_file(tmp_path: Path) -> None:
     file = tmp_path / "spans"
     tracing = Tracing(TraceSettings(file=str(file)), "h1")
     hop = tracing.server_span("request", CALLER)
@@ -29,7 +29,7 @@
     assert TRACE in sent["traceparent"]
 
 
-def test_without_a_destination_the_context_goes_on() -> None:
+def test_without_a_destination_the_context_is_propagated() -> None:
     tracing = Tracing(TraceSettings(), "h1")
     hop = tracing.server_span("request", CALLER)
     assert trace_id(hop) == TRACE
--- a/packages/daemon/tests/test_wire.py
+++ b/packages/daemon/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames and messages between hosts."""
+"""Frames and messages between hosts: round trips, invalid input and compression."""
 
 import zlib
 from contextlib import suppress
@@ -40,14 +40,14 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_message_comes_back_as_it_was(message: object) -> None:
+def test_message_round_trip(message: object) -> None:
     frame = encode_message(FrameKind.REQUEST, 5, message)
     (read,) = FrameReader().feed(encode_frame(frame))
     assert decode_message(read) == message
 
 
 @given(st.integers(1, 60))
-def test_frames_are_cut_wherever_the_bytes_are(size: int) -> None:
+def test_frames_are_split_for_any_chunk_size(size: int) -> None:
     data = b"".join(
         encode_frame(encode_message(FrameKind.REPLY, n, MESSAGES[0])) for n in range(3)
     )
@@ -72,7 +72,7 @@
         decode_message(Frame(FrameKind.REQUEST, 1, tag, body))
 
 
-def test_long_body_is_compressed_and_a_bomb_is_refused() -> None:
+def test_long_body_is_compressed_and_a_zip_bomb_is_rejected() -> None:
     records = tuple(ClaimRecord(f"k{n}", AttemptId("x"), seconds(1)) for n in range(99))
     frame = encode_message(FrameKind.REPLY, 1, Handover(True, 1, records=records))
     assert frame.is_compressed
