--- a/packages/daemon/src/sardinequay_daemon/bounded_log.py
+++ b/packages/daemon/src/sardinequay_daemon/bounded_log.py
@@ -25,7 +25,7 @@
 
 
 class NonBlockingLogHandler(logging.Handler):
-    """Writes lines to a non-blocking file descriptor; drops lines it cannot queue."""
+    """Log handler that writes to a non-blocking descriptor and drops excess lines."""
 
     def __init__(self, clock: Clock, descriptor: int) -> None:
         super().__init__()
@@ -50,10 +50,13 @@
         self.write_pending()
 
     def may_write(self, record: logging.LogRecord) -> bool:
-        """Return whether a line is within the rate limit and the queue size."""
+        """Return whether a line is within the rate limit and the queue has room.
+
+        Errors are exempt from the rate limit.
+        """
         now = self.clock.monotonic()
-        earned = (now - self.refilled_at).total_seconds() * MAX_LINES_PER_S
-        self.rate_tokens = min(MAX_BURST_LINES, self.rate_tokens + earned)
+        earned_tokens = (now - self.refilled_at).total_seconds() * MAX_LINES_PER_S
+        self.rate_tokens = min(MAX_BURST_LINES, self.rate_tokens + earned_tokens)
         self.refilled_at = now
         if self.pending_bytes > MAX_PENDING_BYTES:
             return False
--- a/packages/daemon/src/sardinequay_daemon/digest_writer.py
+++ b/packages/daemon/src/sardinequay_daemon/digest_writer.py
@@ -134,7 +134,7 @@
             outcomes=self.state.health.tally.summed_outcomes(near_hosts, now),
             usage=self.unsent_usage(host_id, DigestScope.DATA_CENTRE),
             demand=self.demand_for_copies(near_hosts, now),
-            live_hosts=self.fleet.live_hosts_here(),
+            live_hosts=self.fleet.live_hosts_in_data_centre(),
         )
 
     def add_fleet_part(self, digest: Digest, host_id: HostId) -> Digest:
@@ -172,7 +172,11 @@
             self.reset_sent_state(host_id)
 
     def handle_peer_restart(self, host_id: HostId) -> None:
-        """Send a restarted peer all state again, also of engines it may order."""
+        """Send a restarted peer all state again.
+
+        Its next digest also contains the holdings that other hosts reported, since it
+        may have sent them itself before its restart.
+        """
         self.reset_sent_state(host_id)
         self.restarted_peers.add(host_id)
 
--- a/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_quotas.py
@@ -32,10 +32,10 @@
         """Set the policy that bounds by how much quotas may be exceeded."""
         self.ledger.policy = policy
 
-    def apply_catalogue(self, before: Catalogue, now: Catalogue) -> None:
-        """Apply the quotas of a new configuration version."""
-        if now.config is not None and now.config is not before.config:
-            organisations = now.config.organisations or ()
+    def apply_catalogue(self, old: Catalogue, new: Catalogue) -> None:
+        """Apply the quotas of a catalogue with a new configuration version."""
+        if new.config is not None and new.config is not old.config:
+            organisations = new.config.organisations or ()
             self.ledger.apply_organisations(organisations, self.clock.monotonic())
 
     def record_partial_usage(self, received: ReceivedDigest) -> None:
--- a/packages/daemon/src/sardinequay_daemon/fleet_task.py
+++ b/packages/daemon/src/sardinequay_daemon/fleet_task.py
@@ -112,7 +112,7 @@
         self.failed_exchanges: dict[HostId, int] = {}
         self.hub_hints: dict[str, Contact] = {}
         self.probe_counter = itertools.count()
-        self.last_hub = HostId("")
+        self.last_logged_hub = HostId("")
 
     async def run(self) -> None:
         """Exchange digests with peers, for good."""
@@ -179,15 +179,15 @@
 
     def log_hub_change(self, hub: Contact) -> None:
         """Log the hub of this host when it changes."""
-        if hub.host_id != self.last_hub:
-            extra = {"hub": hub.host_id, "before": self.last_hub}
+        if hub.host_id != self.last_logged_hub:
+            extra = {"hub": hub.host_id, "before": self.last_logged_hub}
             log.info("hub changed", extra=extra)
-            self.last_hub = hub.host_id
+            self.last_logged_hub = hub.host_id
 
     def exchange_with_other_hubs(self) -> None:
         """Exchange digests with each other data centre's hub, or search for it."""
         hubs = {p.contact.data_centre: p for p in self.other_hubs()}
-        overdue = self.clock.monotonic() - 2 * seconds(self.hub_period_s())
+        overdue_since = self.clock.monotonic() - 2 * seconds(self.hub_period_s())
         for data_centre in sorted({p.contact.data_centre for p in self.peers.values()}):
             if data_centre == self.me.data_centre:
                 continue
@@ -196,7 +196,7 @@
                 self.probe_for_hub(data_centre)
             elif (
                 self.me.host_id < hub.contact.host_id
-                or (hub.last_heard_at or ZERO) < overdue
+                or (hub.last_heard_at or ZERO) < overdue_since
             ):
                 self.exchange_with_host(hub.contact)
 
@@ -232,9 +232,9 @@
         """
         if not self.is_mesh and any(self.is_near(p) for p in self.running_peers()):
             return
-        live = {p.contact.address for p in self.live_peers()}
+        live_addresses = {p.contact.address for p in self.live_peers()}
         for seed in self.seeds:
-            if str(seed) not in live:
+            if str(seed) not in live_addresses:
                 self.start_exchange(HostId(f"seed {seed}"), seed)
 
     def exchange_with_peers(self, peers: Iterable[Peer]) -> None:
@@ -250,13 +250,13 @@
         In a large fleet a hub sends it to the other hubs; the hosts of its own data
         centre call it within one period.
         """
-        is_far, self.is_update_for_far = self.is_update_for_far, False
+        includes_far, self.is_update_for_far = self.is_update_for_far, False
         if not self.is_mesh:
-            for peer in self.other_hubs() if is_far and self.is_hub() else ():
+            for peer in self.other_hubs() if includes_far and self.is_hub() else ():
                 self.exchange_with_host(peer.contact)
             return
         for peer in tuple(self.peers.values()):
-            if is_far or self.is_near(peer):
+            if includes_far or self.is_near(peer):
                 self.exchange_with_host(peer.contact)
 
     def exchange_with_host(self, contact: Contact) -> None:
@@ -352,8 +352,8 @@
             is_hub=digest.scope in (DigestScope.DATA_CENTRE, DigestScope.FLEET),
             live_hosts=digest.live_hosts,
         )
-        self.record_contact(digest.host)
-        self.record_contacts(digest.contacts, now)
+        self.log_contact(digest.host)
+        self.add_contacts(digest.contacts, now)
         self.apply_hub_fields(digest)
         if digest.contacts and digest.up_s > ALL_HOSTS_KNOWN_AFTER_S:
             self.has_received_all_contacts = True
@@ -380,17 +380,17 @@
             self.hub_reported_live_hosts = digest.live_hosts
             self.apply_hub_notes(digest.notes)
 
-    def record_contacts(self, contacts: Iterable[Contact], now: Instant) -> None:
+    def add_contacts(self, contacts: Iterable[Contact], now: Instant) -> None:
         """Add hosts that a peer knows to the table."""
         for contact in contacts:
             known = self.peers.get(contact.host_id)
             if contact.host_id == self.me.host_id:
                 continue
             if known is None:
-                self.record_contact(contact)
+                self.log_contact(contact)
                 self.peers[contact.host_id] = Peer(contact, None, now)
             elif known.contact != contact and known.last_heard_at is None:
-                self.record_contact(contact)
+                self.log_contact(contact)
                 self.peers[contact.host_id] = replace(known, contact=contact)
 
     def prune_silent_peers(self, now: Instant) -> None:
--- a/packages/daemon/src/sardinequay_daemon/hub_table.py
+++ b/packages/daemon/src/sardinequay_daemon/hub_table.py
@@ -51,25 +51,29 @@
         }
         return (
             *recently_heard,
-            *(self.peers[v] for v in hub_reported_ids if v in self.peers),
+            *(
+                self.peers[host_id]
+                for host_id in hub_reported_ids
+                if host_id in self.peers
+            ),
         )
 
     def is_running(self, peer: Peer) -> bool:
         """Return whether a peer is one of the running peers."""
-        is_vouched = peer.contact.host_id in self.recent_hub_reported_hosts()
-        return is_vouched or super().is_running(peer)
+        is_hub_reported = peer.contact.host_id in self.recent_hub_reported_hosts()
+        return is_hub_reported or super().is_running(peer)
 
     def recent_hub_reported_hosts(self) -> frozenset[HostId]:
         """Return the hosts that the hub reported as live recently."""
-        is_new = self.clock.monotonic() - self.hub_reported_at < HUB_SILENCE_TIMEOUT
-        return self.hub_reported_hosts if is_new else frozenset()
+        is_recent = self.clock.monotonic() - self.hub_reported_at < HUB_SILENCE_TIMEOUT
+        return self.hub_reported_hosts if is_recent else frozenset()
 
     def last_sign_of_life(self, peer: Peer) -> Instant:
         """Return when a peer was last known to be live, or when it was added."""
-        last = super().last_sign_of_life(peer)
+        last_sign = super().last_sign_of_life(peer)
         if peer.contact.host_id in self.hub_reported_hosts:
-            return max(last, self.hub_reported_at)
-        return last
+            return max(last_sign, self.hub_reported_at)
+        return last_sign
 
     def mark_lost(self, host_id: HostId) -> None:
         """Treat a peer that did not reply as lost until its next digest."""
@@ -85,10 +89,10 @@
             return super().live_hosts
         if not self.is_hub():
             return self.hub_reported_live_hosts
-        others = sum(p.live_hosts for p in self.other_hubs())
-        return self.live_hosts_here() + others
+        hosts_elsewhere = sum(p.live_hosts for p in self.other_hubs())
+        return self.live_hosts_in_data_centre() + hosts_elsewhere
 
-    def live_hosts_here(self) -> int:
+    def live_hosts_in_data_centre(self) -> int:
         """Return how many hosts of this hub's data centre serve requests."""
         return sum(1 for p in self.reporting_peers() if not p.is_leaving) + 1
 
@@ -115,9 +119,9 @@
         """
         if self.holds_lease():
             return self.me
-        holder = self.lease_holder()
-        if holder is not None:
-            return self.peers[holder].contact
+        holder_id = self.lease_holder()
+        if holder_id is not None:
+            return self.peers[holder_id].contact
         near_hosts = {
             p.contact.host_id: p.contact for p in self.live_peers() if self.is_near(p)
         }
@@ -130,15 +134,15 @@
 
     def other_hubs(self) -> tuple[Peer, ...]:
         """Return the live hubs of other data centres; of several, the last heard."""
-        newest: dict[str, Peer] = {}
+        hubs: dict[str, Peer] = {}
         for peer in self.peers.values():
             if peer.is_hub and not self.is_near(peer) and self.is_recently_heard(peer):
-                known = newest.get(peer.contact.data_centre)
-                if known is None or (known.last_heard_at or ZERO) < (
+                last_heard = hubs.get(peer.contact.data_centre)
+                if last_heard is None or (last_heard.last_heard_at or ZERO) < (
                     peer.last_heard_at or ZERO
                 ):
-                    newest[peer.contact.data_centre] = peer
-        return tuple(newest.values())
+                    hubs[peer.contact.data_centre] = peer
+        return tuple(hubs.values())
 
     def hub_for_host(self, host_id: HostId) -> HostId | None:
         """Return the hub, if any, that reports on a host of another data centre."""
@@ -222,11 +226,11 @@
             host_id = member.contact.host_id
             if host_id == self.me.host_id:
                 continue
-            self.record_contact(member.contact)
-            known = self.peers.get(host_id) or Peer(member.contact, None, now)
-            leaving_since = known.leaving_since if known.is_leaving else now
+            self.log_contact(member.contact)
+            previous = self.peers.get(host_id) or Peer(member.contact, None, now)
+            leaving_since = previous.leaving_since if previous.is_leaving else now
             self.peers[host_id] = replace(
-                known,
+                previous,
                 contact=member.contact,
                 up_s=member.up_s,
                 up_s_received_at=now,
@@ -238,12 +242,12 @@
     def apply_neighbour(self, neighbour: Neighbour, now: Instant) -> None:
         """Update the hub of another data centre."""
         host_id = neighbour.contact.host_id
-        self.record_contact(neighbour.contact)
-        known = self.peers.get(host_id) or Peer(neighbour.contact, None, now)
+        self.log_contact(neighbour.contact)
+        previous = self.peers.get(host_id) or Peer(neighbour.contact, None, now)
         heard_at = now - seconds(neighbour.age_s)
-        if known.last_heard_at is None or known.last_heard_at < heard_at:
+        if previous.last_heard_at is None or previous.last_heard_at < heard_at:
             self.peers[host_id] = replace(
-                known,
+                previous,
                 contact=neighbour.contact,
                 last_heard_at=heard_at,
                 orders_in_s=neighbour.orders_in_s,
--- a/packages/daemon/src/sardinequay_daemon/membership_task.py
+++ b/packages/daemon/src/sardinequay_daemon/membership_task.py
@@ -148,8 +148,8 @@
     def publish_live_members(self) -> None:
         """Publish the live members if they changed."""
         live = self.membership.live_members()
-        known = [(m.host_id, m.incarnation) for m in self.live_members.value]
-        if [(m.host_id, m.incarnation) for m in live] != known:
+        previous = [(m.host_id, m.incarnation) for m in self.live_members.value]
+        if [(m.host_id, m.incarnation) for m in live] != previous:
             self.metrics.peers.set({}, len(live))
             self.live_members.on_next(live)
 
@@ -161,15 +161,15 @@
 
     def join_peers(self) -> list[Address]:
         """Return the peers to query at a start: all here, one per other data centre."""
-        others = [
+        local_addresses = [
             m.address
             for m in self.membership.live_members()
             if not self.is_own_member(m)
         ]
-        elsewhere: dict[DataCentre, Address] = {}
+        remote_addresses: dict[DataCentre, Address] = {}
         for host in self.remote_hosts():
-            elsewhere.setdefault(host.data_centre, host.peer_address)
-        return others + list(elsewhere.values())
+            remote_addresses.setdefault(host.data_centre, host.peer_address)
+        return local_addresses + list(remote_addresses.values())
 
     def is_own_member(self, member: Member) -> bool:
         """Return whether a member is this host."""
@@ -219,9 +219,10 @@
 
     def health_by_member(self) -> dict[str, str]:
         """Return the health of each member, for operators."""
-        known = self.membership.records.items()
+        records = self.membership.records.items()
         health = {
-            str(host_id): record.member.health.name.lower() for host_id, record in known
+            str(host_id): record.member.health.name.lower()
+            for host_id, record in records
         }
         me = self.membership.self_member
         return {**health, str(me.host_id): Health(me.health).name.lower()}
--- a/packages/daemon/src/sardinequay_daemon/peer_table.py
+++ b/packages/daemon/src/sardinequay_daemon/peer_table.py
@@ -33,13 +33,13 @@
 longer than in a small fleet: a broken connection may lose a few digests."""
 
 ASSUME_ALONE_AFTER = seconds(10)
-"""A host that no peer has answered for so long since its start assumes to be alone. It
-then orders engines without votes, so this is far longer than any network partition that
-must be survived."""
+"""A host that no peer has answered for so long since its start takes itself to be the
+only host. It then orders engines without votes, so this is far longer than any network
+partition that must be survived."""
 
 ORDER_WAIT_UNKNOWN_S = 60.0
-"""A wait for permission to order engines from this on, in seconds, means that the peer
-does not know how long it has to wait."""
+"""Upper limit of a known wait, in seconds: a peer that reports a longer wait until it
+may order engines does not know when it may."""
 
 READERS_PER_DATA_CENTRE = 1
 
@@ -110,7 +110,7 @@
         self.holds_lease: Callable[[], bool] = lambda: False
         self.known_contacts: dict[HostId, Contact] = {}
         self.contact_log: list[Contact] = []
-        self.record_contact(me)
+        self.log_contact(me)
 
     def set_seeds(self, seeds: tuple[Address, ...]) -> None:
         """Set the addresses that are contacted to discover the fleet."""
@@ -147,7 +147,7 @@
         far_since = now - self.silence_timeout_by_distance(is_near=False)
         hub_since = near_since if self.is_mesh else now - HUB_SILENCE_TIMEOUT
 
-        def since(peer: Peer) -> Instant:
+        def oldest_live_time(peer: Peer) -> Instant:
             if not self.is_near(peer):
                 return far_since
             return hub_since if peer.holds_lease or peer.is_hub else near_since
@@ -155,7 +155,7 @@
         return tuple(
             p
             for p in self.peers.values()
-            if p.last_heard_at is not None and p.last_heard_at > since(p)
+            if p.last_heard_at is not None and p.last_heard_at > oldest_live_time(p)
         )
 
     def silence_timeout(self, peer: Peer) -> timedelta:
@@ -166,7 +166,7 @@
         return self.silence_timeout_by_distance(is_near)
 
     def silence_timeout_by_distance(self, is_near: bool) -> timedelta:
-        """Return the silence timeout of near or far peers that are not hubs here."""
+        """Return the silence timeout of near or far peers, other than near hubs."""
         if not self.is_mesh and not is_near:
             return OTHER_HUB_SILENCE_TIMEOUT
         period_s = self.digest_period_s(is_near)
@@ -238,7 +238,7 @@
         return self.reader_rank() < READERS_PER_DATA_CENTRE
 
     def reader_rank(self) -> int:
-        """Return how many live hosts here rank before this one as readers."""
+        """Return how many live hosts of the data centre precede this one as reader."""
         near_hosts = [p.contact.host_id for p in self.live_peers() if self.is_near(p)]
         return rank_members("reader", [*near_hosts, self.me.host_id]).index(
             self.me.host_id
@@ -279,12 +279,14 @@
         If two peers of a data centre claim this, the one with the shorter wait is the
         holder.
         """
-        may_order = (
+        candidates = (
             p for p in self.peers.values() if p.orders_in_s < ORDER_WAIT_UNKNOWN_S
         )
-        holders = [p for p in may_order if self.is_recently_heard(p)]
-        holders.sort(key=lambda p: (p.orders_in_s, p.contact.host_id), reverse=True)
-        return {p.contact.data_centre: p for p in holders}
+        live_candidates = [p for p in candidates if self.is_recently_heard(p)]
+        live_candidates.sort(
+            key=lambda p: (p.orders_in_s, p.contact.host_id), reverse=True
+        )
+        return {p.contact.data_centre: p for p in live_candidates}
 
     def keeper_of(self, data_centre: str) -> Peer | None:
         """Return the live peer that orders a data centre's engines, now or soon."""
@@ -294,7 +296,7 @@
         """Return the time since this host started, in seconds."""
         return (self.clock.monotonic() - self.started_at).total_seconds()
 
-    def record_contact(self, contact: Contact) -> None:
+    def log_contact(self, contact: Contact) -> None:
         """Log a new host, or a changed address, to be sent to peers."""
         if self.known_contacts.get(contact.host_id) != contact:
             self.known_contacts[contact.host_id] = contact
@@ -315,8 +317,8 @@
 
     def contacts(self) -> tuple[Contact, ...]:
         """Return all known hosts that are not leaving, including this one."""
-        known = [p.contact for p in self.peers.values() if not p.is_leaving]
-        return (self.me, *known)
+        staying_contacts = [p.contact for p in self.peers.values() if not p.is_leaving]
+        return (self.me, *staying_contacts)
 
     def digest_period_s(self, is_near: bool) -> float:
         """Return the time between two digests to one near or far peer, in seconds."""
@@ -326,7 +328,7 @@
         )
 
     def max_harmless_silence(self) -> timedelta:
-        """Return how long a far peer may be silent without being lost."""
+        """Return the time that a far peer may be silent before its reports expire."""
         if not self.is_mesh:
             return HUB_REPORT_MAX_AGE
         return seconds(2 * self.digest_period_s(is_near=False))
@@ -352,7 +354,7 @@
         peer = self.peers.get(host_id)
         if peer is None or peer.last_heard_at is None:
             return
-        long_ago = self.clock.monotonic() - self.silence_timeout(peer)
+        expired_at = self.clock.monotonic() - self.silence_timeout(peer)
         self.peers[host_id] = replace(
-            peer, last_heard_at=min(peer.last_heard_at, long_ago)
+            peer, last_heard_at=min(peer.last_heard_at, expired_at)
         )
--- a/packages/daemon/src/sardinequay_daemon/peers.py
+++ b/packages/daemon/src/sardinequay_daemon/peers.py
@@ -288,30 +288,33 @@
         """Serve one connection until it ends, then cancel its unfinished requests."""
         connection = PeerConnection(writer, self.metrics)
         self.connections.add(connection)
-        frames, running = FrameReader(), set[asyncio.Task[None]]()
+        frames, request_tasks = FrameReader(), set[asyncio.Task[None]]()
         try:
             while data := await reader.read(READ_BYTES):
                 for frame in frames.feed(data):
-                    self.start_request(connection, frame, running)
+                    self.start_request(connection, frame, request_tasks)
         except (OSError, FrameError) as error:
             log.info("peer connection ended", extra={"error": str(error)})
         finally:
-            for task in running:
+            for task in request_tasks:
                 task.cancel()
             self.connections.discard(connection)
             connection.close()
             await connection.wait_closed()
 
     def start_request(
-        self, connection: PeerConnection, frame: Frame, running: set[asyncio.Task[None]]
+        self,
+        connection: PeerConnection,
+        frame: Frame,
+        request_tasks: set[asyncio.Task[None]],
     ) -> None:
         """Start a task that handles a request; send a keepalive frame back at once."""
         if frame.kind is FrameKind.ALIVE:
             connection.send(frame)
             return
         task = asyncio.create_task(self.handle_request(connection, frame))
-        running.add(task)
-        task.add_done_callback(running.discard)
+        request_tasks.add(task)
+        task.add_done_callback(request_tasks.discard)
 
     async def handle_request(self, connection: PeerConnection, frame: Frame) -> None:
         """Call the handler of one request and send its reply or a failure."""
--- a/packages/daemon/src/sardinequay_daemon/rollout_task.py
+++ b/packages/daemon/src/sardinequay_daemon/rollout_task.py
@@ -98,15 +98,21 @@
         bundle = self.installed.bundle
         return InForce(bundle.version, bundle.digest, roster_number)
 
-    async def run(self, first_peers: Callable[[], Iterable[Address]]) -> None:
-        """Query the peers, then watch the service and handle offers for good."""
+    async def run(self, join_peers: Callable[[], Iterable[Address]]) -> None:
+        """Query the peers, then watch the service and handle offers, for good.
+
+        Parameters
+        ----------
+        join_peers : callable
+            Returns the addresses of the peers to query at the start.
+        """
         async with asyncio.TaskGroup() as group:
             group.create_task(self.handle_offers())
-            await self.fetch_initial_roots(first_peers)
+            await self.fetch_initial_roots(join_peers)
             group.create_task(self.watch())
 
     async def fetch_initial_roots(
-        self, first_peers: Callable[[], Iterable[Address]]
+        self, join_peers: Callable[[], Iterable[Address]]
     ) -> None:
         """Query what peers have in force before the service is trusted.
 
@@ -117,7 +123,7 @@
         try:
             async with asyncio.timeout(bound_s):
                 while self.rollout.confirmation is Confirmation.PENDING:
-                    await self.fetch_roots(list(first_peers()))
+                    await self.fetch_roots(list(join_peers()))
                     await asyncio.sleep(JOIN_PAUSE_S)
         except TimeoutError:
             self.rollout.confirmation = Confirmation.TIMED_OUT
@@ -127,8 +133,8 @@
         """Request from several peers at once the root that they have in force."""
         calls = [self.peers.call(address, FetchRoot()) for address in addresses]
         replies = await asyncio.gather(*calls)
-        for address, answer in zip(addresses, replies, strict=True):
-            reply = answer.value_or(None)
+        for address, result in zip(addresses, replies, strict=True):
+            reply = result.value_or(None)
             if not isinstance(reply, RootReply):
                 continue
             if reply.data:
@@ -209,8 +215,8 @@
         self, signed: SignedRoot, data: bytes, source: Address | None
     ) -> Result[None, BundleError]:
         """Fetch the missing blobs of a newer bundle, assemble it and switch to it."""
-        old = self.installed
-        blobs = dict(old.blobs) if old else {}
+        previous = self.installed
+        blobs = dict(previous.blobs) if previous else {}
         while missing := sorted(missing_blobs(signed.root, blobs)):
             fetched = await self.fetch_blobs(missing, source)
             if not fetched:
@@ -222,19 +228,19 @@
             blobs.update(fetched)
         digest = root_digest(signed.root)
         assembled = assemble_bundle(
-            signed.root, digest, blobs, old.bundle if old else None
+            signed.root, digest, blobs, previous.bundle if previous else None
         )
         if not isinstance(assembled, Success):
             return Failure(assembled.failure())
         bundle = assembled.unwrap()
-        needed = {
+        needed_digests = {
             signed.root.base,
             *signed.root.index,
             *(leaf.digest for leaf in bundle.leaves),
         }
-        kept = {d: blobs[d] for d in needed}
+        bundle_blobs = {d: blobs[d] for d in needed_digests}
         self.rollout.put_in_force(signed)
-        self.installed = InstalledBundle(bundle, data, kept, self.clock.now())
+        self.installed = InstalledBundle(bundle, data, bundle_blobs, self.clock.now())
         self.metrics.bundle_version.set({}, bundle.version)
         self.journal.record(
             JOURNAL_SUBJECT, "in force", version=bundle.version, source=str(source)
@@ -252,10 +258,10 @@
             results = await asyncio.gather(*[self.service.blob(d) for d in batch])
             blobs = [f.unwrap() for f in results if isinstance(f, Success)]
         else:
-            reply_result = await self.peers.call(
+            call_result = await self.peers.call(
                 source, FetchBlobs(tuple(batch)), FETCH_TIMEOUT_S
             )
-            reply = reply_result.value_or(None)
+            reply = call_result.value_or(None)
             blobs = list(reply.blobs) if isinstance(reply, BlobsReply) else []
         by_digest = {blob_digest(blob): blob for blob in blobs}
         return {d: by_digest[d] for d in batch if d in by_digest}
--- a/packages/daemon/src/sardinequay_daemon/serving_messages.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_messages.py
@@ -121,7 +121,7 @@
 
     Parameters
     ----------
-    scope : Scope
+    scope : DigestScope
         Hosts whose requests the shares, uses and outcomes cover.
     contacts : tuple of Contact
         Hosts that the sender knows; empty if the receiver has them already.
--- a/packages/daemon/src/sardinequay_daemon/store_task.py
+++ b/packages/daemon/src/sardinequay_daemon/store_task.py
@@ -179,19 +179,19 @@
         peers that share the link with it arrive no sooner.
         """
         listing = asyncio.create_task(self.store.list_all())
-        telling = asyncio.create_task(self.peer_has_items.wait())
+        peer_items = asyncio.create_task(self.peer_has_items.wait())
         try:
-            await asyncio.wait((listing, telling), return_when=FIRST_COMPLETED)
+            await asyncio.wait((listing, peer_items), return_when=FIRST_COMPLETED)
             return listing.result() if listing.done() else None
         finally:
             listing.cancel()
-            telling.cancel()
+            peer_items.cancel()
 
     def may_rely_on_peers(self) -> bool:
         """Return whether reads by other hosts are enough."""
-        is_known = self.catalogue.config is not None
+        has_configuration = self.catalogue.config is not None
         return (
-            is_known
+            has_configuration
             and not self.is_reader()
             and (self.has_hub() or self.freshest_peer_age_s() < FRESH_READER_AGE_S)
         )
@@ -249,7 +249,7 @@
         self.expire_unconfirmed()
         await asyncio.sleep(pause_s * self.random.uniform(0.75, 1.25))
 
-    def absence_rule(self) -> RemovalPolicy:
+    def removal_policy(self) -> RemovalPolicy:
         """Return how to treat entries that are missing from the store now."""
         now = self.clock.monotonic()
         if self.failures and self.outage_s() >= LAPSE_OUTAGE_S:
@@ -273,7 +273,7 @@
         self.items = listed
         changes = tuple(c for c in map(self.decode, read.items) if c is not None)
         self.publish_catalogue(
-            apply_listing(self.catalogue, changes, read.revision, self.absence_rule())
+            apply_listing(self.catalogue, changes, read.revision, self.removal_policy())
         )
 
     def apply_changes(self, items: tuple[StoreItem, ...], revision: int) -> None:
@@ -283,7 +283,7 @@
             self.save_item(item)
             change = self.decode(item)
             if change is not None:
-                catalogue = apply_change(change, catalogue, self.absence_rule())
+                catalogue = apply_change(change, catalogue, self.removal_policy())
         self.publish_catalogue(
             replace(catalogue, revision=max(revision, catalogue.revision))
         )
@@ -322,14 +322,14 @@
 
     def publish_catalogue(self, catalogue: Catalogue) -> None:
         """Publish a catalogue if it differs from the current one."""
-        before = self.catalogue
-        if catalogue == before:
+        previous = self.catalogue
+        if catalogue == previous:
             return
-        self.log_changes(before, catalogue)
+        self.log_changes(previous, catalogue)
         is_due = (
             self.clock.monotonic() - self.announced_at >= RENEWAL_ANNOUNCEMENT_PERIOD
         )
-        if is_due or not is_equal_except_revisions(before, catalogue):
+        if is_due or not is_equal_except_revisions(previous, catalogue):
             self.announced_revision = catalogue.revision
             self.announced_at = self.clock.monotonic()
         self.catalogues.on_next(catalogue)
@@ -400,11 +400,11 @@
         is_whole = message.after == 0 or (
             len(self.removed) >= MAX_RECENT_ITEMS and message.after < oldest
         )
-        known = [*self.items.values(), *self.removed.values()]
+        all_items = [*self.items.values(), *self.removed.values()]
         items = (
             list(self.items.values())
             if is_whole
-            else [i for i in known if i.revision > message.after]
+            else [i for i in all_items if i.revision > message.after]
         )
         items.sort(key=lambda item: item.revision)
         return ItemsReply(tuple(items), self.catalogue.revision, is_whole)
--- a/packages/daemon/tests/test_large_fleet.py
+++ b/packages/daemon/tests/test_large_fleet.py
@@ -85,21 +85,21 @@
     me: HostId
     lease: Lease = field(default_factory=Lease)
     managed_engines: dict = field(default_factory=dict)
-    told: tuple[EngineHoldings, ...] = ()
-    heard: dict[TargetId, EngineHoldings] = field(default_factory=dict)
+    own_holdings: tuple[EngineHoldings, ...] = ()
+    peer_holdings: dict[TargetId, EngineHoldings] = field(default_factory=dict)
 
     @property
     def orders_in_s(self) -> float:
         return 0.0 if self.lease.is_holder else FOREVER
 
     def recent_holdings(self) -> tuple[EngineHoldings, ...]:
-        return self.told
+        return self.own_holdings
 
     def peer_holdings_snapshot(self, _) -> tuple[EngineHoldings, ...]:
-        return tuple(self.heard.values())
+        return tuple(self.peer_holdings.values())
 
     def record_peer_holdings(self, holdings: EngineHoldings) -> None:
-        self.heard[holdings.target] = holdings
+        self.peer_holdings[holdings.target] = holdings
 
 
 class Host:
@@ -135,10 +135,10 @@
         self.is_down = False
         self.next_near = self.next_far = 0.0
 
-    def record_contents(self, heard: ReceivedDigest) -> None:
-        for news in heard.digest.contents:
+    def record_contents(self, received: ReceivedDigest) -> None:
+        for news in received.digest.contents:
             self.contents_received += 1
-            apply_content_update(self.state.quarantine, news, heard.received_at)
+            apply_content_update(self.state.quarantine, news, received.received_at)
 
     def record_target_end(self, target: str) -> None:
         """Record that a target ended while it ran a request with the fatal content."""
@@ -146,7 +146,7 @@
         end = TargetEnd(TargetId(target), 1, now)
         self.state.quarantine.record_target_end(FATAL, end, now)
 
-    def holds(self) -> bool:
+    def holds_content(self) -> bool:
         now = self.fleet.clock.monotonic()
         return bool(self.state.quarantine.remaining_hold(FATAL, now))
 
@@ -163,16 +163,16 @@
         self.hosts = [Host(n, clock, seeds) for n in range(hosts)]
         self.by_address = {h.me.address: h for h in self.hosts}
         self.calls: Counter[str] = Counter()
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.elapsed_s = 0.0
         for host in self.hosts:
-            host.fleet.start_exchange = self.starter(host)
+            host.fleet.start_exchange = self.make_start_exchange(host)
 
-    def starter(self, caller: Host):
+    def make_start_exchange(self, caller: Host):
         def start(host_id: HostId, address: Address) -> None:
             self.calls[caller.me.host_id] += 1
             callee = self.by_address[str(address)]
-            if callee.is_down or not self.reaches(caller, callee):
+            if callee.is_down or not self.can_reach(caller, callee):
                 caller.fleet.build_digest(host_id)
                 caller.fleet.record_failed_exchange(host_id)
                 return
@@ -185,20 +185,20 @@
 
         return start
 
-    def reaches(self, one: Host, other: Host) -> bool:
-        places = {one.me.data_centre, other.me.data_centre}
-        return len(places) == 1 or not places & self.cut
+    def can_reach(self, one: Host, other: Host) -> bool:
+        data_centres = {one.me.data_centre, other.me.data_centre}
+        return len(data_centres) == 1 or not data_centres & self.partitioned
 
-    def pass_time(self, for_s: float) -> None:
+    def advance(self, for_s: float) -> None:
         """Advance the clock in small steps, with the exchanges that are due."""
         for _ in range(round(for_s / STEP_S)):
             self.clock.advance(STEP_S)
             self.elapsed_s += STEP_S
             for host in self.hosts:
                 if not host.is_down:
-                    self.step(host)
+                    self.run_due_exchanges(host)
 
-    def step(self, host: Host) -> None:
+    def run_due_exchanges(self, host: Host) -> None:
         fleet = host.fleet
         offset = int(host.me.host_id[1:]) % 10 * STEP_S
         if (
@@ -217,22 +217,22 @@
     def assign_leases(self) -> None:
         """Give one host of each data centre its order lease."""
         for data_centre in DATA_CENTRES:
-            self.live(data_centre)[-1].orders.lease.is_holder = True
+            self.live_hosts(data_centre)[-1].orders.lease.is_holder = True
 
-    def live(self, data_centre: str) -> list[Host]:
+    def live_hosts(self, data_centre: str) -> list[Host]:
         found = [h for h in self.hosts if h.me.data_centre == data_centre]
         return [h for h in found if not h.is_down]
 
-    def holder(self, data_centre: str) -> Host:
-        return next(h for h in self.live(data_centre) if h.orders.lease.is_holder)
+    def lease_holder(self, data_centre: str) -> Host:
+        return next(h for h in self.live_hosts(data_centre) if h.orders.lease.is_holder)
 
 
 def settled_world(hosts: int, clock: ManualClock) -> World:
     """Return a fleet whose hosts know one another and whose leases are held."""
     world = World(hosts, clock)
-    world.pass_time(3)
+    world.advance(3)
     world.assign_leases()
-    world.pass_time(2)
+    world.advance(2)
     return world
 
 
@@ -243,7 +243,7 @@
 
 def test_every_host_uses_the_lease_holder_as_hub(world: World) -> None:
     for host in world.hosts:
-        holder = world.holder(host.me.data_centre)
+        holder = world.lease_holder(host.me.data_centre)
         assert host.fleet.hub() == holder.me
         assert host.fleet.live_hosts == 50
         assert set(host.fleet.keepers()) == set(DATA_CENTRES) - (
@@ -253,7 +253,7 @@
 
 def test_load_of_one_host_is_known_to_all_within_a_second(world: World) -> None:
     world.hosts[7].state.loads.record_dispatch(E, 500)
-    world.pass_time(1)
+    world.advance(1)
     now = world.clock.monotonic()
     for host in world.hosts:
         assert host.state.loads.total_share(E, now) == EngineShare(500, 0), host.me
@@ -266,8 +266,8 @@
         for host in random.sample(world.hosts, 10):
             host.state.loads.record_dispatch(E, 100)
             counts[world.hosts.index(host)] += 1
-        world.pass_time(0.2)
-    world.pass_time(1)
+        world.advance(0.2)
+    world.advance(1)
     now = world.clock.monotonic()
     total = 100 * sum(counts.values())
     assert {h.state.loads.total_share(E, now).unread_tokens for h in world.hosts} == {
@@ -276,7 +276,7 @@
     for index, count in counts.items():
         for _ in range(count):
             world.hosts[index].state.loads.record_end(E, 100, had_first_event=False)
-    world.pass_time(1)
+    world.advance(1)
     now = world.clock.monotonic()
     assert {h.state.loads.total_share(E, now) for h in world.hosts} == {EngineShare()}
 
@@ -286,7 +286,7 @@
     for host in world.hosts[:6]:
         now = world.clock.monotonic()
         host.state.health.record_result(E, AttemptResult.FAILED, now, now)
-    world.pass_time(1)
+    world.advance(1)
     now = world.clock.monotonic()
     unaware_hosts = [
         h for h in world.hosts if not h.state.health.tally.is_excluded(E, now)
@@ -298,19 +298,19 @@
     for _ in range(9):
         now = world.clock.monotonic()
         world.hosts[3].state.health.record_result(E, AttemptResult.FAILED, now, now)
-    world.pass_time(1)
+    world.advance(1)
     now = world.clock.monotonic()
     assert not any(h.state.health.tally.is_excluded(E, now) for h in world.hosts)
 
 
 def test_engine_holdings_are_known_to_all_within_a_second(world: World) -> None:
     holdings = EngineHoldings(E, 5, 1, (A,), {}, (), idle=1)
-    world.holder("za").orders.told = (holdings,)
-    world.pass_time(1)
+    world.lease_holder("za").orders.own_holdings = (holdings,)
+    world.advance(1)
     assert all(
         A in h.state.residency.reported[E].adapters
         for h in world.hosts
-        if h is not world.holder("za")
+        if h is not world.lease_holder("za")
     )
 
 
@@ -323,33 +323,33 @@
     published = PublishedTarget(target, 64, 1, frozenset({"m"}))
     for host in world.hosts:
         host.state.catalogue = Catalogue(1, None, {E: published})
-    keeper = world.holder("za")
+    keeper = world.lease_holder("za")
     users = [h for h in world.hosts if h.me.data_centre == "zc"][:3]
     for user in users:
         user.state.uses.adjust_own_count(E, A, 1)
         # The use arrives at once, and again in the sum of the user's hub.
         keeper.state.uses.apply_peer_count(user.me.host_id, E, A, 1)
-    world.pass_time(1)
+    world.advance(1)
     assert keeper.state.uses.counts_on(E) == {A: 3}
     for user in users:
         user.state.uses.adjust_own_count(E, A, -1)
-    world.pass_time(1)
+    world.advance(1)
     assert not keeper.state.uses.counts_on(E)
 
 
 def test_lost_hub_is_replaced_without_loss_of_load_shares(world: World) -> None:
     """The loss of a data centre's lease holder loses no load shares."""
     world.hosts[7].state.loads.record_dispatch(E, 500)
-    world.pass_time(1)
-    lost = world.holder("zc")
+    world.advance(1)
+    lost = world.lease_holder("zc")
     lost.is_down = True
-    world.pass_time(0.9)
+    world.advance(0.9)
     now = world.clock.monotonic()
-    here = world.live("zc")
+    here = world.live_hosts("zc")
     assert all(h.fleet.lease_holder() is None for h in here)
     assert all(h.state.loads.total_share(E, now).unread_tokens == 500 for h in here)
     here[0].orders.lease.is_holder = True
-    world.pass_time(2)
+    world.advance(2)
     now = world.clock.monotonic()
     for host in world.hosts:
         if not host.is_down:
@@ -359,43 +359,43 @@
 
 
 def test_hosts_without_a_holder_agree_on_a_hub(world: World) -> None:
-    world.holder("zc").is_down = True
-    world.pass_time(3)
-    here = world.live("zc")
+    world.lease_holder("zc").is_down = True
+    world.advance(3)
+    here = world.live_hosts("zc")
     assert len({h.fleet.hub() for h in here}) == 1
     assert sum(h.fleet.is_reader() for h in here) == 1
 
 
 def test_partitioned_data_centre_counts_only_itself(world: World) -> None:
     world.hosts[4].state.loads.record_dispatch(E, 700)  # A host in data centre "ze".
-    world.pass_time(1)
-    world.cut.add("ze")
-    world.pass_time(4)
+    world.advance(1)
+    world.partitioned.add("ze")
+    world.advance(4)
     now = world.clock.monotonic()
     outside = [h for h in world.hosts if h.me.data_centre != "ze"]
     assert {h.fleet.live_hosts for h in outside} == {40}
-    assert {h.fleet.live_hosts for h in world.live("ze")} == {10}
+    assert {h.fleet.live_hosts for h in world.live_hosts("ze")} == {10}
     assert {h.state.loads.total_share(E, now) for h in outside} == {EngineShare()}
     assert {
-        h.state.loads.total_share(E, now).unread_tokens for h in world.live("ze")
+        h.state.loads.total_share(E, now).unread_tokens for h in world.live_hosts("ze")
     } == {700}
-    world.cut.clear()
-    world.pass_time(2)
+    world.partitioned.clear()
+    world.advance(2)
     assert {h.fleet.live_hosts for h in world.hosts} == {50}
 
 
 def test_restarted_host_receives_all_state_again(world: World, clock) -> None:
     holdings = EngineHoldings(E, 5, 1, (A,), {}, (), idle=1)
-    world.holder("za").orders.told = (holdings,)
-    world.pass_time(1)
+    world.lease_holder("za").orders.own_holdings = (holdings,)
+    world.advance(1)
     index = next(
         n for n, h in enumerate(world.hosts) if h.me.data_centre == "zb" and n > 2
     )
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     restarted = world.hosts[index] = Host(index, clock, seeds)
     world.by_address[restarted.me.address] = restarted
-    restarted.fleet.start_exchange = world.starter(restarted)
-    world.pass_time(2)
+    restarted.fleet.start_exchange = world.make_start_exchange(restarted)
+    world.advance(2)
     assert A in restarted.state.residency.reported[E].adapters
     assert len(restarted.fleet.contacts()) == 50
     assert restarted.fleet.live_hosts == 50
@@ -407,8 +407,8 @@
     world.hosts = [Host(n, clock, seeds) for n in range(50)]
     world.by_address = {h.me.address: h for h in world.hosts}
     for host in world.hosts:
-        host.fleet.start_exchange = world.starter(host)
-    world.pass_time(2.5)
+        host.fleet.start_exchange = world.make_start_exchange(host)
+    world.advance(2.5)
     assert {len(h.fleet.voters(seconds(1))) for h in world.hosts} == {9}
 
 
@@ -417,8 +417,8 @@
     """Exchanges a second of a host and of a hub stay bounded at two fleet sizes."""
     world = settled_world(hosts, clock)
     world.calls.clear()
-    world.pass_time(3)
-    hubs = {world.holder(d).me.host_id for d in DATA_CENTRES}
+    world.advance(3)
+    hubs = {world.lease_holder(d).me.host_id for d in DATA_CENTRES}
     others = [n / 3 for h, n in world.calls.items() if h not in hubs]
     assert max(others) <= 1 / 0.15 + 1
     assert (
@@ -437,13 +437,13 @@
     contacts_received: Counter[HostId] = Counter()
     for host in world.hosts:
         host.fleet.digests.subscribe(
-            lambda heard, me=host.me.host_id: contacts_received.update(
-                {me: len(heard.digest.contacts)}
+            lambda received, me=host.me.host_id: contacts_received.update(
+                {me: len(received.digest.contacts)}
             )
         )
-    world.pass_time(4)
+    world.advance(4)
     world.assign_leases()
-    world.pass_time(4)
+    world.advance(4)
     assert {len(h.fleet.contacts()) for h in world.hosts} == {50}
     # Each near host sends each contact about once as caller and once as callee, and a
     # hub receives them from the other hubs too. All hosts call the seeds.
@@ -456,37 +456,39 @@
 
 def test_content_that_ended_two_targets_is_held_by_all_within_a_second(world) -> None:
     """A request ends an engine of one data centre, then an engine of another one."""
-    world.live("za")[0].record_target_end("e1")
-    world.pass_time(1)
-    assert not any(h.holds() for h in world.hosts)
-    world.live("zd")[2].record_target_end("e2")
-    world.pass_time(1)
-    assert all(h.holds() for h in world.hosts)
+    world.live_hosts("za")[0].record_target_end("e1")
+    world.advance(1)
+    assert not any(h.holds_content() for h in world.hosts)
+    world.live_hosts("zd")[2].record_target_end("e2")
+    world.advance(1)
+    assert all(h.holds_content() for h in world.hosts)
     # Each exchange partner sends each change about once, not with every digest.
-    world.pass_time(5)
-    hubs = [world.holder(d) for d in DATA_CENTRES]
-    plain = [h for h in world.hosts if h not in hubs]
-    assert max(h.contents_received for h in plain) <= 4
-    assert max(h.contents_received for h in hubs) <= 2 * len(world.live("za") + hubs)
+    world.advance(5)
+    hubs = [world.lease_holder(d) for d in DATA_CENTRES]
+    ordinary = [h for h in world.hosts if h not in hubs]
+    assert max(h.contents_received for h in ordinary) <= 4
+    assert max(h.contents_received for h in hubs) <= 2 * len(
+        world.live_hosts("za") + hubs
+    )
 
 
 def test_content_is_held_after_a_partition_or_a_restart(world, clock) -> None:
-    world.cut.add("ze")
-    world.pass_time(3)
+    world.partitioned.add("ze")
+    world.advance(3)
     for target in ("e1", "e2", "e3"):
-        world.live("zb")[1].record_target_end(target)
-    world.pass_time(1)
-    assert not any(h.holds() for h in world.live("ze"))
-    world.cut.clear()
-    world.pass_time(2)
-    assert all(h.holds() for h in world.live("ze"))
-    index = next(n for n, h in enumerate(world.hosts) if h is world.live("zc")[1])
+        world.live_hosts("zb")[1].record_target_end(target)
+    world.advance(1)
+    assert not any(h.holds_content() for h in world.live_hosts("ze"))
+    world.partitioned.clear()
+    world.advance(2)
+    assert all(h.holds_content() for h in world.live_hosts("ze"))
+    index = next(n for n, h in enumerate(world.hosts) if h is world.live_hosts("zc")[1])
     seeds = tuple(Address("127.0.0.1", 1000 + n) for n in range(3))
     restarted = world.hosts[index] = Host(index, clock, seeds)
     world.by_address[restarted.me.address] = restarted
-    restarted.fleet.start_exchange = world.starter(restarted)
-    world.pass_time(2)
-    assert restarted.holds()
+    restarted.fleet.start_exchange = world.make_start_exchange(restarted)
+    world.advance(2)
+    assert restarted.holds_content()
 
 
 def test_permits_are_issued_by_one_of_few_hosts(world: World) -> None:
@@ -496,26 +498,28 @@
             rank_members(content, h.fleet.known_to_all())[0] for h in world.hosts
         }
         assert len(issuers) == 1
-        assert issuers <= {world.holder(d).me.host_id for d in DATA_CENTRES}
+        assert issuers <= {world.lease_holder(d).me.host_id for d in DATA_CENTRES}
 
 
 def test_hub_receives_host_digests_and_sends_sums(world: World) -> None:
-    keeper = world.holder("zb")
+    keeper = world.lease_holder("zb")
     assert (
-        DigestScope.FLEET is keeper.build_digest(world.live("zb")[0].me.host_id).scope
+        DigestScope.FLEET
+        is keeper.build_digest(world.live_hosts("zb")[0].me.host_id).scope
     )
-    other = world.holder("zd")
+    other = world.lease_holder("zd")
     assert DigestScope.DATA_CENTRE is keeper.build_digest(other.me.host_id).scope
-    plain = world.live("zb")[0]
-    assert DigestScope.HOST is plain.build_digest(keeper.me.host_id).scope
+    ordinary = world.live_hosts("zb")[0]
+    assert DigestScope.HOST is ordinary.build_digest(keeper.me.host_id).scope
     assert (
-        DigestScope.NOBODY is plain.build_digest(world.live("zb")[1].me.host_id).scope
+        DigestScope.NOBODY
+        is ordinary.build_digest(world.live_hosts("zb")[1].me.host_id).scope
     )
-    assert not plain.build_digest(world.live("zb")[1].me.host_id).shares
-    assert keeper.build_digest(plain.me.host_id).uses == ()
+    assert not ordinary.build_digest(world.live_hosts("zb")[1].me.host_id).shares
+    assert keeper.build_digest(ordinary.me.host_id).uses == ()
     uses = (AdapterUse(E, A, 1),)
-    plain.state.uses.adjust_own_count(E, A, 1)
-    assert plain.build_digest(keeper.me.host_id).uses == uses
+    ordinary.state.uses.adjust_own_count(E, A, 1)
+    assert ordinary.build_digest(keeper.me.host_id).uses == uses
 
 
 def test_host_lost_by_its_hub_still_counts_as_a_voter(world: World):
@@ -523,11 +527,11 @@
 
     If it were removed at once, the remaining hosts could elect a second lease holder.
     """
-    lost = world.live("zd")[2]
-    world.pass_time(32)
+    lost = world.live_hosts("zd")[2]
+    world.advance(32)
     lost.is_down = True
-    world.pass_time(5)
-    others = [h for h in world.live("zd") if not h.orders.lease.is_holder]
+    world.advance(5)
+    others = [h for h in world.live_hosts("zd") if not h.orders.lease.is_holder]
     for host in others:
         assert lost.me.host_id in host.fleet.voters(seconds(1))
         assert lost.me.host_id not in {
@@ -542,7 +546,7 @@
     """
     for host in world.hosts:
         host.writer.store.age_s = 7.0
-    world.pass_time(2)
+    world.advance(2)
     for host in world.hosts:
         assert host.fleet.freshest_store_age_s() >= FRESH_READER_AGE_S, host.me
 
@@ -556,10 +560,10 @@
     assert readers == len(DATA_CENTRES)
     for host in world.hosts:
         host.writer.store.age_s = FOREVER
-    world.pass_time(4)
+    world.advance(4)
     for host in world.hosts:
         host.writer.store.age_s = 4.0
-    world.pass_time(1)
+    world.advance(1)
     trying = sum(h.fleet.is_reader() for h in world.hosts)
     assert len(DATA_CENTRES) < trying <= 7 * len(DATA_CENTRES)
 
@@ -588,7 +592,7 @@
     for host in world.hosts:
         now = world.clock.monotonic()
         host.state.quotas.ledger.apply_organisations((NORTH,), now)
-    world.pass_time(4.0)
+    world.advance(4.0)
     return world
 
 
@@ -599,7 +603,7 @@
     world = with_quota
     for host in world.hosts[:40]:
         admit_requests(host, 200)
-    world.pass_time(1.5)
+    world.advance(1.5)
     for host in (world.hosts[0], world.hosts[41], world.hosts[43]):
         host.state.quotas.ledger.settle_all(world.clock.monotonic())
         usage = host.state.quotas.ledger.usage
@@ -618,7 +622,7 @@
     for _ in range(100):
         for host in world.hosts[::4]:
             admitted += admit_requests(host, 84, tokens=4)
-        world.pass_time(STEP_S)
+        world.advance(STEP_S)
     assert admitted <= (10.0 * 10_000 + 10_000) * 1.25
     assert admitted >= 10.0 * 10_000 * 0.9
 
@@ -628,8 +632,8 @@
     partitioned_hosts = (world.hosts[0], world.hosts[1])
     for host in partitioned_hosts:
         host.state.count_hosts()
-    world.cut = {"za"}
-    world.pass_time(6.0)
+    world.partitioned = {"za"}
+    world.advance(6.0)
     for host in partitioned_hosts:
         host.state.count_hosts()
         shares[host.me.data_centre] = host.state.quotas.ledger.share
@@ -642,10 +646,10 @@
     world = with_quota
     most = 0.0
     for step in range(300):
-        world.cut = {"za"} if 100 <= step < 150 else set()
+        world.partitioned = {"za"} if 100 <= step < 150 else set()
         for host in world.hosts[::2]:
             admit_requests(host, 4, tokens=4)
-        world.pass_time(STEP_S)
+        world.advance(STEP_S)
         for host in world.hosts:
             ledger, now = host.state.quotas.ledger, world.clock.monotonic()
             account = ledger.accounts[NORTH.name]
@@ -656,8 +660,8 @@
 def test_repeat_budget_counts_hosts_live_before_a_partition(world: World) -> None:
     for host in world.hosts:
         host.state.count_hosts()
-    world.cut = {"za"}
-    world.pass_time(6.0)
+    world.partitioned = {"za"}
+    world.advance(6.0)
     for host in world.hosts:
         host.state.count_hosts()
         assert host.fleet.live_hosts < 50
@@ -667,9 +671,9 @@
 def test_repeat_budget_counts_all_hosts_while_a_hub_is_lost(world: World) -> None:
     for host in world.hosts:
         host.state.count_hosts()
-    world.holder("za").is_down = True
+    world.lease_holder("za").is_down = True
     for _ in range(20):
-        world.pass_time(0.2)
+        world.advance(0.2)
         for host in world.hosts:
             host.state.count_hosts()
             assert host.state.fleet_size.estimated_hosts() >= 50
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -215,10 +215,10 @@
     await task.read_once()
     clock.advance(1)
     await task.read_once()
-    assert task.absence_rule().keep_until is None
+    assert task.removal_policy().keep_until is None
     clock.advance(0.5)
     await task.read_once()
-    assert task.absence_rule().keep_until is None
+    assert task.removal_policy().keep_until is None
 
 
 async def test_missing_entries_are_kept_around_a_long_outage(
@@ -228,12 +228,12 @@
     await task.read_once()
     clock.advance(4)
     await task.read_once()
-    assert task.absence_rule().keep_until == clock.monotonic() + seconds(2)
+    assert task.removal_policy().keep_until == clock.monotonic() + seconds(2)
     await task.read_once()
     clock.advance(1.9)
-    assert task.absence_rule().keep_until is not None
+    assert task.removal_policy().keep_until is not None
     clock.advance(0.2)
-    assert task.absence_rule().keep_until is None
+    assert task.removal_policy().keep_until is None
 
 
 async def test_host_that_alone_cannot_read_drops_missing_entries(
@@ -244,7 +244,7 @@
     clock.advance(8)
     peers["age_s"] = 0.4
     await task.read_once()
-    assert task.absence_rule().keep_until is None
+    assert task.removal_policy().keep_until is None
 
 
 async def test_fetch_returns_only_changed_items(task: StoreTask, scripted) -> None:
