--- a/packages/daemon/src/sardinequay_daemon/__init__.py
+++ b/packages/daemon/src/sardinequay_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of sardinequay: sockets, files and timers around the core."""
+"""The sardinequay daemon: networking, files and timers around the core."""
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -1,4 +1,8 @@
-"""Claiming a key before a non-idempotent request is dispatched."""
+"""Claims the idempotency key of a non-idempotent request before its dispatch.
+
+A key is claimed by a majority vote of the guards of its home data centre, so that at
+most one attempt with the key is dispatched.
+"""
 
 import asyncio
 import uuid
@@ -31,13 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WonClaim:
-    """A key that this attempt alone may use."""
+    """A key claimed by one attempt, with the round of votes that granted it."""
 
     round: ClaimRound
 
 
 class Claimer:
-    """Claims keys at the guards of their home data centres."""
+    """Requests the votes of guards on keys, and tells guards the outcome."""
 
     def __init__(
         self,
@@ -58,14 +62,14 @@
         self.tracing = tracing
         self.roster = EMPTY_ROSTER
         self.learned_views: dict[DataCentre, View] = {}
-        self.sending: set[asyncio.Task[None]] = set()
+        self.background_sends: set[asyncio.Task[None]] = set()
 
     def apply_roster(self, roster: Roster) -> None:
-        """Take the latest list, from which the views follow."""
+        """Replace the roster, which lists the guards of each data centre."""
         self.roster = roster
 
     def latest_view(self, data_centre: DataCentre) -> View:
-        """Return the latest view known of a data centre's guards."""
+        """Return the latest view of a data centre, by the roster and guards."""
         listed = build_view(self.roster, data_centre)
         learned = self.learned_views.get(data_centre, listed)
         return max(listed, learned, key=lambda view: view.number)
@@ -74,7 +78,13 @@
     async def hold_claim(
         self, envelope: RequestEnvelope, progress: Progress, parent: Span
     ) -> AsyncIterator[None]:
-        """Hold a request's key while it runs; raises `RequestRefusedError` if it is not won."""
+        """Hold the claim on a request's idempotency key while the request runs.
+
+        Raises
+        ------
+        RequestRefusedError
+            If the claim is not won.
+        """
         won = await self.claim_request_key(envelope, parent)
         ran = False
         try:
@@ -87,7 +97,7 @@
     async def claim_request_key(
         self, envelope: RequestEnvelope, parent: Span
     ) -> WonClaim | None:
-        """Claim a request's key; one without a key may be repeated and holds none."""
+        """Claim a request's key; return None if it is idempotent and has none."""
         if not envelope.key:
             return None
         with self.tracing.child_span("claim", parent):
@@ -103,7 +113,10 @@
     async def claim_key(
         self, key: str, caller: str, deadline: Instant
     ) -> Result[WonClaim, Refusal]:
-        """Claim a caller's key for a new attempt, before the deadline."""
+        """Claim a caller's key for a new attempt.
+
+        Undecided rounds are repeated until the deadline, for at most one claim window.
+        """
         home = home_data_centre(key, self.data_centres)
         attempt = AttemptId(uuid.uuid4().hex)
         caller_key = f"{caller}/{key}"
@@ -112,19 +125,19 @@
             round_ = await self.request_votes(
                 self.latest_view(home), caller_key, attempt
             )
-            standing = round_.status(self.clock.monotonic())
+            status = round_.status(self.clock.monotonic())
             self.record_later_view(round_)
-            if standing is ClaimStatus.WON:
+            if status is ClaimStatus.WON:
                 self.metrics.claims.inc({"standing": "won"})
                 return Success(WonClaim(round_))
-            if standing is ClaimStatus.HELD or self.clock.monotonic() >= round_deadline:
-                self.metrics.claims.inc({"standing": standing.value})
+            if status is ClaimStatus.HELD or self.clock.monotonic() >= round_deadline:
+                self.metrics.claims.inc({"standing": status.value})
                 self.send_settle(round_.build_release(), round_.view)
-                return Failure(claim_refusal(round_, standing))
+                return Failure(claim_refusal(round_, status))
             await asyncio.sleep(ROUND_PAUSE_S)
 
     def record_later_view(self, round_: ClaimRound) -> None:
-        """Remember a later view that a guard named."""
+        """Record a later view that a guard's vote contained."""
         later = round_.latest_named_view()
         if later is not None:
             self.learned_views[later.data_centre] = later
@@ -132,7 +145,7 @@
     async def request_votes(
         self, view: View, key: str, attempt: AttemptId
     ) -> ClaimRound:
-        """Ask all guards at once, and stop when the votes decide."""
+        """Request the votes of all guards; return as soon as the result is certain."""
         round_ = ClaimRound(view, key, attempt, self.clock.monotonic(), self.policy)
         if not view.guards:
             return round_
@@ -150,7 +163,7 @@
     async def request_vote(
         self, round_: ClaimRound, guard: GuardAddress, timeout_s: float
     ) -> None:
-        """Ask one guard for its vote."""
+        """Request one guard's vote and record it, or that the guard did not reply."""
         reply = await self.peers.call(guard.address, round_.build_request(), timeout_s)
         vote = reply.value_or(None)
         if isinstance(vote, ClaimVote):
@@ -159,27 +172,30 @@
             round_.record_unreachable(guard.host_id)
 
     def settle_claim(self, claim: WonClaim, outcome: Outcome) -> None:
-        """Tell the guards what became of a claimed request.
+        """Send the outcome of a claimed request to the guards.
 
-        NOT_RUN gives the key back, so it must be certain and final.
+        NOT_RUN releases the key for another attempt, so it must be certain and final.
         """
         self.send_settle(claim.round.build_settle(outcome), claim.round.view)
 
     def send_settle(self, message: Settle, view: View) -> None:
-        """Tell all guards without waiting; one that misses it lets the claim expire."""
+        """Send the outcome to all guards in the background.
+
+        At a guard that doesn't receive it, the claim expires.
+        """
         for guard in view.guards:
             task = asyncio.create_task(self.send_settle_to(guard, message))
-            self.sending.add(task)
-            task.add_done_callback(self.sending.discard)
+            self.background_sends.add(task)
+            task.add_done_callback(self.background_sends.discard)
 
     async def send_settle_to(self, guard: GuardAddress, message: Settle) -> None:
-        """Tell one guard."""
+        """Send the outcome to one guard."""
         await self.peers.call(guard.address, message)
 
 
-def claim_refusal(round_: ClaimRound, standing: ClaimStatus) -> Refusal:
-    """Return the answer to a request whose key was not won."""
-    if standing is not ClaimStatus.HELD:
+def claim_refusal(round_: ClaimRound, status: ClaimStatus) -> Refusal:
+    """Return the refusal of a request whose key could not be claimed."""
+    if status is not ClaimStatus.HELD:
         message = "the key's guards cannot be reached; the request was not started"
         return not_run_refusal(Reason.CLAIM_UNAVAILABLE, message, RETRY_AFTER)
     settled = round_.settled_outcome()
--- a/packages/daemon/src/sardinequay_daemon/engine_client.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -1,7 +1,7 @@
-"""The port to model engines: orders, reports, and streams of answers.
+"""The client of model engines: orders, reports, and streamed responses.
 
-What a failure proves is decided here, next to the bytes: only an error before the
-request was written, or the engine's own refusal, proves that it has not run.
+Failures are classified here, where bytes are written: only an error before the request
+was written, or a refusal by the engine itself, proves that the request has not run.
 """
 
 import asyncio
@@ -27,15 +27,16 @@
 NOT_LOADED = "not_loaded"
 STALE_TOKEN = "stale_token"
 REFUSED_STATUSES = frozenset({400, 404, 413, 422, 429, 503})
-"""Statuses by which an engine says that it did not start on a request."""
+"""Statuses with which an engine refuses a request that it has not started."""
+
 REQUEST_HEADER = "X-Request-Id"
 HEALTH_CHECK_TIMEOUT_S = 0.4
-"""Bound on an engine's answer whether it lives; it waits for no place."""
+"""Timeout of a health check; engines answer it without queueing."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRequest:
-    """One request as it goes to an engine."""
+    """One request as it is sent to an engine."""
 
     path: str
     request_id: str
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportBody:
-    """An engine's report as it comes over the wire."""
+    """An engine's report in its wire format."""
 
     incarnation: str
     highest_token: int
@@ -58,27 +59,35 @@
 
 
 class EngineClient(Protocol):
-    """What the rest of the daemon needs of engines."""
+    """Interface of the engine client, as the keeper task and health check use it."""
 
     async def report(self, target: Target) -> Result[EngineReport, TargetError]:
-        """Return what an engine says of itself."""
+        """Return an engine's report of its state."""
 
     async def load(
         self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
-        """Have an adapter loaded; return when it is."""
+        """Load an adapter on an engine; return when it is loaded."""
 
     async def unload(
         self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
-        """Have an adapter evicted; return when it is."""
+        """Evict an adapter from an engine; return when it is evicted."""
 
     async def cancel(self, address: Address, request_id: str) -> None:
-        """Have a request ended whose caller is gone."""
+        """Cancel a request whose caller has disconnected."""
 
 
 class HttpEngineClient:
-    """Engines over HTTP."""
+    """The client of engines over HTTP.
+
+    Parameters
+    ----------
+    fresh_session : aiohttp.ClientSession
+        Opens a new connection for each request.
+    silence_s : float
+        Timeout between two reads of a stream, and of reports, in seconds.
+    """
 
     def __init__(
         self,
@@ -94,7 +103,7 @@
         self.report_timeout = aiohttp.ClientTimeout(total=silence_s)
 
     async def report(self, target: Target) -> Result[EngineReport, TargetError]:
-        """Return what an engine says of itself."""
+        """Return an engine's report of its state."""
         url = f"http://{target.address}/v1/report"
         try:
             async with self.session.get(url, timeout=self.report_timeout) as response:
@@ -109,19 +118,23 @@
     async def load(
         self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
-        """Have an adapter loaded; return when it is."""
+        """Load an adapter on an engine; return when it is loaded."""
         return await self.send_order(target, "/v1/load_lora_adapter", use, token)
 
     async def unload(
         self, target: Target, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
-        """Have an adapter evicted; return when it is."""
+        """Evict an adapter from an engine; return when it is evicted."""
         return await self.send_order(target, "/v1/unload_lora_adapter", use, token)
 
     async def send_order(
         self, target: Target, path: str, use: AdapterUse, token: int
     ) -> Result[None, TargetError]:
-        """Give an order with its fencing token."""
+        """Send a load or eviction order with its fencing token.
+
+        The token rises with each order and keeper; engines refuse a lower one than they
+        have seen, so that a replaced keeper cannot order them any more.
+        """
         body = {
             "adapter": use.adapter.name,
             "version": use.adapter.version,
@@ -143,7 +156,13 @@
     async def send_request(
         self, address: Address, request: EngineRequest
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a request; raises `TargetError` unless the engine took it."""
+        """Send a request and yield the response.
+
+        Raises
+        ------
+        TargetError
+            If the engine did not accept the request.
+        """
         session = self.fresh_session if request.fresh_connection else self.session
         headers = {**request.headers, REQUEST_HEADER: request.request_id}
         url = f"http://{address}{request.path}"
@@ -160,9 +179,10 @@
     async def resume_stream(
         self, address: Address, request_id: str, after: int
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Open a running request's stream again, after an event.
+        """Reopen the stream of a running request after the event number `after`.
 
-        Whatever fails here proves nothing of the request, which may have run long ago.
+        Any failure is reported as `BROKEN`: it does not prove that the request has not
+        run, since it was started before.
         """
         url = f"http://{address}/v1/requests/{request_id}/events"
         try:
@@ -179,13 +199,13 @@
             raise TargetError(TargetFault.BROKEN, error.detail) from error
 
     def stream_timeout(self) -> aiohttp.ClientTimeout:
-        """Return the bound on silence; engines tell that they live between tokens."""
+        """Return the timeouts of a stream; engines send keep-alives between tokens."""
         return aiohttp.ClientTimeout(
             total=None, sock_connect=self.silence_s, sock_read=self.silence_s
         )
 
     async def cancel(self, address: Address, request_id: str) -> None:
-        """Have a request ended whose caller is gone; best effort."""
+        """Cancel a request whose caller has disconnected; errors are ignored."""
         url = f"http://{address}/v1/requests/{request_id}"
         try:
             async with self.session.delete(
@@ -197,7 +217,7 @@
 
 
 class EngineHealthCheck:
-    """Asks engines whether they live; services here tell nothing of themselves."""
+    """Checks the health of engines; plain services have no health check here."""
 
     def __init__(self, engines: EngineClient) -> None:
         self.engines = engines
@@ -205,7 +225,7 @@
     async def probe_status(
         self, target: Target, incarnation: int, health_path: str
     ) -> ProbeResult:
-        """Return what a target shows; its starts are not told apart here."""
+        """Return a target's health by its report; `incarnation` is not compared."""
         if target.kind is not TargetKind.ENGINE:
             return ProbeResult.HEALTHY
         try:
@@ -223,17 +243,17 @@
 async def read_events(
     response: aiohttp.ClientResponse,
 ) -> AsyncGenerator[EventBatch, None]:
-    """Yield whole events of a stream as they come."""
-    cutter = EventSplitter()
+    """Yield complete events of a stream as they arrive."""
+    splitter = EventSplitter()
     with TargetErrorTranslator():
         while data := await response.content.readany():
-            events = cutter.feed(data)
+            events = splitter.feed(data)
             if events is not None:
                 yield events
 
 
 def decode_report(target: TargetId, data: bytes) -> Result[EngineReport, TargetError]:
-    """Read an engine's report."""
+    """Decode an engine's report from JSON."""
     try:
         body = msgspec.json.decode(data, type=ReportBody)
     except msgspec.DecodeError as error:
@@ -253,7 +273,10 @@
 
 
 def refusal_error(status: int, data: bytes) -> TargetError:
-    """Return what an engine's refusal proves."""
+    """Return the error for an engine's response other than 200.
+
+    Its fault tells whether the request has certainly not run.
+    """
     try:
         body: Any = msgspec.json.decode(data)
     except msgspec.DecodeError:
--- a/packages/daemon/src/sardinequay_daemon/errors.py
+++ b/packages/daemon/src/sardinequay_daemon/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the daemon's layers; each turns those of the layer below.
+"""Errors of the daemon's layers; each layer converts the errors of the layer below.
 
-Errors are no frozen data classes: the interpreter sets the traceback of an error on its
-way out. Nothing else may change them.
+Errors are not frozen data classes, because the interpreter sets the traceback of a
+raised error. Nothing else may change them.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(unsafe_hash=True)
 class SettingsError(DaemonError):
-    """A field of the settings that is not as it must be."""
+    """A field of the settings is invalid."""
 
     field: str
     value: str
@@ -29,7 +29,7 @@
 
 @dataclass(unsafe_hash=True)
 class PeerError(DaemonError):
-    """A call to another entry host that got no answer."""
+    """A call to another entry host got no reply."""
 
     address: str
     detail: str
@@ -40,7 +40,15 @@
 
 @dataclass(unsafe_hash=True)
 class PlatformError(DaemonError):
-    """A read of the platform's services that got no usable answer."""
+    """A read from one of the platform's services got no usable response.
+
+    Parameters
+    ----------
+    service : str
+        Name of the service in messages.
+    is_history_gone : bool
+        Whether the store has deleted the history that the read asked for.
+    """
 
     service: str
     detail: str
@@ -51,11 +59,11 @@
 
 
 class ConnectionLostError(ClientError):
-    """A connection that broke after a request went out and before an answer came."""
+    """A connection broke after a request was sent and before a response arrived."""
 
 
 class TargetFault(Enum):
-    """How a call to a target failed, as far as running is concerned."""
+    """How a call to a target failed; determines whether the request may have run."""
 
     NOT_SENT = "not_sent"
     NOT_LOADED = "not_loaded"
@@ -68,7 +76,7 @@
 
 @dataclass(unsafe_hash=True)
 class TargetError(DaemonError):
-    """A call to a target that did not end well."""
+    """A call to a target failed."""
 
     fault: TargetFault
     detail: str
@@ -78,7 +86,7 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Return whether the target has certainly not run the request."""
+        """Whether the target has certainly not run the request."""
         return self.fault not in (
             TargetFault.BROKEN,
             TargetFault.LOST_ON_KEPT,
@@ -88,7 +96,7 @@
 
 @dataclass(unsafe_hash=True)
 class StartError(DaemonError):
-    """A reason why the daemon cannot start, with its exit code."""
+    """The daemon cannot start; has the exit code of the process."""
 
     message: str
     exit_code: int
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -1,4 +1,9 @@
-"""The task that guards idempotency keys, and brings guards into their views."""
+"""The task that votes on idempotency keys as a guard, and joins new views.
+
+Guards are hosts that remember which attempt claimed a key. The guards of a data centre
+are listed in numbered views; a guard votes in a view after it has fetched the claims of
+the views before it.
+"""
 
 import asyncio
 import logging
@@ -34,7 +39,7 @@
 
 
 def claim_policy(settings: ClaimSettings) -> ClaimPolicy:
-    """Return the core's durations."""
+    """Return the durations of claims from the settings."""
     return ClaimPolicy(
         retention=timedelta(seconds=settings.life_s),
         vote_window=timedelta(seconds=settings.window_s),
@@ -44,7 +49,7 @@
 
 
 def initial_view(settings: ClaimSettings, data_centre: DataCentre) -> View:
-    """Return view 0 of a data centre, which the settings name."""
+    """Return view 0 of a data centre, whose guards are in the settings."""
     guards = []
     for entry in settings.founders[data_centre]:
         address = parse_address(entry.address).unwrap()
@@ -53,7 +58,7 @@
 
 
 class GuardTask:
-    """Owns this host's memory of claims, for each data centre that it guards."""
+    """Owns this host's claims as a guard, by the data centre that they belong to."""
 
     def __init__(
         self,
@@ -78,7 +83,11 @@
         self.inbox = Mailbox()
 
     def make_duty(self, data_centre: DataCentre, incarnation: int) -> GuardDuty:
-        """Return an empty memory, which is a full one if nothing came before."""
+        """Return a guard without claims for one data centre.
+
+        If this process started before the system's first request, the guard has
+        forgotten nothing, and votes in view 0 at once.
+        """
         view_0 = initial_view(self.settings, data_centre)
         guard = Guard(
             self.me,
@@ -90,44 +99,44 @@
         return GuardDuty(guard, view_0)
 
     async def run(self) -> None:
-        """Answer and join for good."""
+        """Handle messages, join views and expire claims until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.inbox.handle_messages(self.handle_message))
             group.create_task(run_periodically(JOIN_INTERVAL_S, self.join_step))
             group.create_task(run_periodically(EXPIRE_INTERVAL_S, self.expire_claims))
 
-    def handle_message(self, envelope: QueuedMessage) -> None:
-        """Answer one message from the state as it is now."""
-        message, now = envelope.message, self.clock.monotonic()
+    def handle_message(self, queued_message: QueuedMessage) -> None:
+        """Reply to one message, without waiting."""
+        message, now = queued_message.message, self.clock.monotonic()
         if isinstance(message, ClaimRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.reply_with(duty.handle_claim(message, now))
+            queued_message.reply_with(duty.handle_claim(message, now))
         elif isinstance(message, Settle):
             self.duties[message.data_centre].handle_settle(message)
-            envelope.reply_with(Settled())
+            queued_message.reply_with(Settled())
         elif isinstance(message, HandoverRequest):
             duty = self.duties[message.view.data_centre]
-            envelope.reply_with(duty.handle_handover_request(message, now))
+            queued_message.reply_with(duty.handle_handover_request(message, now))
         elif isinstance(message, ViewQuery):
             guard = self.duties[message.data_centre].guard
-            envelope.reply_with(ViewReply(guard.active_view))
+            queued_message.reply_with(ViewReply(guard.active_view))
 
     def apply_host_list(self, roster: Roster) -> None:
-        """Take the list that was read from the platform just now."""
+        """Apply a host list that was just read from the platform."""
         self.roster = roster
         now = self.clock.monotonic()
         for data_centre, duty in self.duties.items():
             duty.record_listed_view(build_view(roster, data_centre), now)
 
     def apply_peer_roster(self, roster: Roster) -> None:
-        """Take a roster that a peer told: it may name a later view."""
+        """Apply a roster received from a peer, which may list a later view."""
         self.roster = max(self.roster, roster, key=lambda r: r.number)
         now = self.clock.monotonic()
         for data_centre, duty in self.duties.items():
             duty.record_view(build_view(roster, data_centre), now)
 
     async def join_step(self) -> None:
-        """Ask for what is still missing, and enter views that are complete."""
+        """Fetch missing claims for the views being joined; enter complete views."""
         for data_centre, duty in self.duties.items():
             if duty.joining is None:
                 continue
@@ -137,7 +146,7 @@
                 self.log_entered(duty, entered_view)
 
     def log_entered(self, duty: GuardDuty, view: View) -> None:
-        """Log that this host votes in a view from now on."""
+        """Log that this host has entered a view and votes in it."""
         log_fields = {
             "view": view.number,
             "guards": [g.host_id for g in view.guards],
@@ -149,7 +158,7 @@
     async def request_missing_records(
         self, data_centre: DataCentre, duty: GuardDuty, joining: ViewJoin
     ) -> None:
-        """Ask once for everything that is missing."""
+        """Request once all handovers that are missing to enter a view."""
         if not duty.guard.has_full_memory:
             await self.find_active_view(data_centre, duty, joining)
         missing = joining.pending_requests(self.clock.monotonic())
@@ -163,22 +172,25 @@
     async def find_active_view(
         self, data_centre: DataCentre, duty: GuardDuty, joining: ViewJoin
     ) -> None:
-        """Ask the hosts of the data centre in which view they vote."""
+        """Query the hosts of a data centre for the view in which they vote.
+
+        A restarted guard starts its search for claims from the view that they name.
+        """
         hosts = {h.peer_address for h in self.roster.hosts_in_data_centre(data_centre)}
         hosts |= {g.address for g in joining.target.guards if g.host_id != self.me}
         query = ViewQuery(data_centre)
-        answers = await asyncio.gather(
+        replies = await asyncio.gather(
             *[self.peers.call(address, query) for address in sorted(hosts)]
         )
-        for answer in answers:
-            reply = answer.value_or(None)
+        for reply_result in replies:
+            reply = reply_result.value_or(None)
             if isinstance(reply, ViewReply) and reply.view is not None:
                 duty.record_start_view(reply.view)
 
     async def request_handover(
         self, joining: ViewJoin, guard: GuardAddress, request: HandoverRequest
     ) -> None:
-        """Fetch all pages of one guard's memory."""
+        """Fetch all pages of one guard's claims; nothing is kept if one page fails."""
         asked_at = self.clock.monotonic()
         pages: list[Handover] = []
         after = ""
@@ -203,25 +215,27 @@
         )
 
     def expire_claims(self) -> None:
-        """Forget claims whose life is over."""
+        """Delete claims older than the claim lifetime."""
         for duty in self.duties.values():
             duty.guard.expire_claims(self.clock.monotonic())
 
     def is_guard(self) -> bool:
-        """Return whether this host guards any data centre in the latest list."""
-        views = (build_view(self.roster, name) for name in self.duties)
+        """Return whether this host is a guard of any data centre by the roster."""
+        views = (build_view(self.roster, data_centre) for data_centre in self.duties)
         return any(view.has_guard(self.me) for view in views)
 
     def active_views(self) -> dict[str, int | None]:
-        """Return the view in which this host votes, for each data centre."""
+        """Return the number of the view in which this host votes, by data centre."""
         return {
-            str(name): duty.guard.active_view.number if duty.guard.active_view else None
-            for name, duty in self.duties.items()
+            str(data_centre): duty.guard.active_view.number
+            if duty.guard.active_view
+            else None
+            for data_centre, duty in self.duties.items()
         }
 
 
 def merge_pages(pages: list[Handover]) -> Handover:
-    """Join the pages of one guard's answer; the first one names its views."""
+    """Merge the pages of one guard's handover; the first page has the base view."""
     first = pages[0]
     later = {v.number: v for page in pages for v in page.later_views}
     return Handover(
--- a/packages/daemon/src/sardinequay_daemon/guarded_run.py
+++ b/packages/daemon/src/sardinequay_daemon/guarded_run.py
@@ -1,4 +1,7 @@
-"""A request as far as it concerns whether its content may run."""
+"""The state of a request that decides whether its content may be sent to a target.
+
+Content that is suspected to crash targets needs a permit; see `content_guard`.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,20 +11,20 @@
 
 @dataclass(slots=True)
 class GuardedRun:
-    """A request on its way.
+    """A request in progress, as the content guard tracks it.
 
     Parameters
     ----------
     content : ContentId
-        What it asks for, the same each time a caller comes with it.
+        Identifies the request's content; equal for each repeat by a caller.
     may_have_run : bool
-        Whether it was sent to a target that did not say that it has not run it.
+        Whether a target was sent the request and did not prove that it has not run it.
     permit : str
-        The permit that it has, if its content is under suspicion.
+        The permit to run suspected content; empty if the request holds none.
     permit_waits : int
-        How often it found that another run had the permit.
-    verdict : Task or None
-        Finds out whether the last target ended under it.
+        How often the permit was held by another request.
+    target_end_check : Task or None
+        Checks whether the last target ended while it ran the request.
     """
 
     request_id: str
--- a/packages/daemon/src/sardinequay_daemon/host.py
+++ b/packages/daemon/src/sardinequay_daemon/host.py
@@ -1,4 +1,4 @@
-"""One entry host: its tasks put together, started and stopped."""
+"""An entry host that serves signed bundles: creates, connects and runs its tasks."""
 
 import asyncio
 import logging
@@ -71,17 +71,18 @@
 IDLE_CONNECTION_S = 15.0
 
 SAME_END_WITHIN = timedelta(seconds=2)
-"""Targets keep their ids over restarts here and name no start: ends of one target that
-lie closer count once. More would hide an engine that restarts and ends again."""
+"""Ends of a target within this time count as one. Target ids here stay the same over
+restarts and carry no incarnation, so two ends cannot be told apart otherwise. A longer
+time would hide an engine that restarts and ends again."""
 
 EXPIRE_INTERVAL_S = 10.0
-"""How often contents that are to be forgotten are looked for."""
+"""Interval at which suspected contents are checked for expiry."""
 
 log = logging.getLogger(__name__)
 
 
 class Host:
-    """One entry host, from its settings."""
+    """An entry host as its settings describe it."""
 
     def __init__(
         self, settings: Settings, clock: Clock, random: Random, tracing: Tracing
@@ -107,10 +108,8 @@
         self.sessions: list[aiohttp.ClientSession] = []
         self.runners: list[AnyRunner] = []
 
-    # Putting it together.
-
     def build_tasks(self) -> None:
-        """Make every task and say who hears whom."""
+        """Create all tasks and connect them."""
         settings, timing = self.settings, self.settings.timing
         pooled_session, fresh_session = (
             self.make_session(False),
@@ -194,7 +193,7 @@
         self.register_handlers()
 
     def make_session(self, is_fresh: bool) -> aiohttp.ClientSession:
-        """Make a client whose connections are pooled, or each used once."""
+        """Create an HTTP client; `is_fresh` opens a new connection for each request."""
         source = (self.listener.ip, 0)
         connector = (
             aiohttp.TCPConnector(limit=0, force_close=True, local_addr=source)
@@ -210,11 +209,11 @@
     def make_reader(
         self, session: aiohttp.ClientSession, url: str, name: str
     ) -> HttpReader:
-        """Make the reader of one of the platform's services."""
+        """Create the reader of one of the platform's services."""
         return HttpReader(session, url, self.metrics, name)
 
     def make_membership(self) -> MembershipTask:
-        """Make the membership of this host's data centre."""
+        """Create the task that tracks the live hosts of this data centre."""
         me = Member(self.settings.host_id, self.peer_address, self.incarnation)
         return MembershipTask(
             me,
@@ -229,9 +228,9 @@
         )
 
     def make_content_guard(self, engines: HttpEngineClient) -> ContentGuard:
-        """Make what stops requests under which targets end."""
+        """Create the guard that stops requests whose content crashes targets."""
         quarantine = Quarantine(QuarantinePolicy(same_end_span=SAME_END_WITHIN))
-        self.spread = QuarantineReplicator(
+        self.quarantine_replicator = QuarantineReplicator(
             self.membership, self.peers, quarantine, self.clock, self.random
         )
         guard = ContentGuard(
@@ -247,11 +246,11 @@
                 lambda target: self.roster.roster.is_live(target),
                 lambda pool: self.metrics.target_ends.inc({"pool": pool}),
             ),
-            self.spread,
+            self.quarantine_replicator,
             self.peers,
             self.clock,
         )
-        self.spread.received.subscribe(guard.apply_updates)
+        self.quarantine_replicator.received.subscribe(guard.apply_updates)
         return guard
 
     def make_callers(
@@ -260,7 +259,7 @@
         pooled_session: aiohttp.ClientSession,
         fresh_session: aiohttp.ClientSession,
     ) -> CallerServer:
-        """Make what serves callers."""
+        """Create the server for callers."""
         limits = self.settings.limits
         budgets = RetryBudgets(
             RetryPolicy(ratio=limits.retry_ratio, max_attempts=limits.max_attempts)
@@ -302,7 +301,7 @@
         )
 
     def subscribe_tasks(self) -> None:
-        """Say which task hears of which change."""
+        """Subscribe tasks to the updates of other tasks."""
         rosters = self.roster.rosters
         rosters.subscribe(self.membership.apply_roster)
         rosters.subscribe(self.claimer.apply_roster)
@@ -317,17 +316,17 @@
         self.rollout.bundles.subscribe(self.announce_bundle)
 
     def forward_roster_to_guard(self, roster: Roster) -> None:
-        """Have the guard hear of a roster, however it came."""
+        """Pass a roster to the guard task, unless it is the empty initial one."""
         if roster.number:
             self.guard.apply_peer_roster(roster)
 
     def announce_bundle(self, bundle: Bundle | None) -> None:
-        """Tell peers at once of a bundle that came into force."""
+        """Announce a bundle that came into force to peers at once."""
         if bundle is not None:
             self.membership.announce_in_force()
 
     def register_handlers(self) -> None:
-        """Say who answers which message of a peer."""
+        """Register the handlers of peers' messages."""
         server = self.peer_server
         server.register(Ping, self.membership.handle_ping)
         server.register(Offer, self.membership.handle_offer)
@@ -335,7 +334,7 @@
         server.register(FetchBlobs, self.rollout.handle_fetch_blobs)
         server.register(FetchRoster, self.roster.handle_fetch)
         server.register(Recall, self.leases.handle_recall)
-        server.register(ContentsTold, self.spread.handle_contents_told)
+        server.register(ContentsTold, self.quarantine_replicator.handle_contents_told)
         server.register(AskPermit, self.content_guard.handle_ask_permit)
         server.register(PermitBack, self.content_guard.handle_permit_back)
         for guard_message in GUARD_MESSAGES:
@@ -343,14 +342,12 @@
         for keeper_message in KEEPER_MESSAGES:
             server.register(keeper_message, self.keeper.inbox.request)
 
-    # What is in force.
-
     def in_force(self) -> InForce:
-        """Return what to tell peers with each heartbeat."""
+        """Return the bundle and roster versions in force, sent with each heartbeat."""
         return self.rollout.in_force(self.roster.roster.number)
 
     def handle_peer_in_force(self, event: PeerInForce) -> None:
-        """Pass on what a peer has in force to those who may want it."""
+        """Pass a peer's bundle and roster versions to the tasks that may fetch them."""
         in_force = event.in_force
         offered = OfferedBundle(in_force.bundle_version, in_force.bundle_digest)
         if self.rollout.rollout.should_fetch(offered):
@@ -360,25 +357,27 @@
 
     def current_bundle(self) -> Bundle | None:
         """Return the bundle in force."""
-        in_place = self.rollout.installed
-        return in_place.bundle if in_place else None
+        installed = self.rollout.installed
+        return installed.bundle if installed else None
 
     def is_ready(self) -> bool:
-        """Return whether this host takes requests."""
-        has_all = self.rollout.rollout.can_serve() and self.roster.roster.number > 0
-        return has_all and not self.is_stopping
+        """Return whether this host accepts requests."""
+        has_configuration = (
+            self.rollout.rollout.can_serve() and self.roster.roster.number > 0
+        )
+        return has_configuration and not self.is_stopping
 
     def status(self) -> HostStatus:
-        """Return what is in force on this host."""
-        in_place = self.rollout.installed
+        """Return this host's state for the status page."""
+        installed = self.rollout.installed
         return HostStatus(
             host=self.settings.host_id,
             data_centre=self.settings.data_centre,
             ready=self.is_ready(),
             stopping=self.is_stopping,
-            bundle_version=in_place.bundle.version if in_place else 0,
-            bundle_digest=in_place.bundle.digest if in_place else "",
-            bundle_since=in_place.since.isoformat() if in_place else "",
+            bundle_version=installed.bundle.version if installed else 0,
+            bundle_digest=installed.bundle.digest if installed else "",
+            bundle_since=installed.since.isoformat() if installed else "",
             confirmed_by=self.rollout.rollout.confirmation.value,
             bundles_refused=sorted(f"{r} {d}" for r, d in self.rollout.rollout.refused),
             roster_number=self.roster.roster.number,
@@ -390,23 +389,21 @@
         )
 
     async def expire_contents(self) -> None:
-        """Forget contents of which nothing was heard for long."""
+        """Delete suspected contents that expired without further updates."""
         self.content_guard.expire()
 
     def refresh_metrics(self) -> None:
-        """Bring metrics up to date that are read from the state when asked for."""
+        """Update the gauges that are computed from the state when scraped."""
         self.metrics.in_flight.set({}, self.callers.admission.in_flight)
         held = self.content_guard.quarantine.held_contents(self.clock.monotonic())
         self.metrics.quarantined.set({}, len(held))
-        in_place = self.rollout.installed
-        if in_place is not None:
-            age = (self.clock.now() - in_place.since).total_seconds()
+        installed = self.rollout.installed
+        if installed is not None:
+            age = (self.clock.now() - installed.since).total_seconds()
             self.metrics.bundle_age.set({}, age)
 
-    # Life.
-
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until told to stop, then let what is in flight finish."""
+        """Serve until `stop` is set, then let requests in flight finish."""
         self.build_tasks()
         peer_listener = await self.listen()
         try:
@@ -418,7 +415,7 @@
                     group.create_task(self.guard.run()),
                     group.create_task(self.keeper.run()),
                     group.create_task(self.leases.run()),
-                    group.create_task(self.spread.run()),
+                    group.create_task(self.quarantine_replicator.run()),
                     group.create_task(
                         run_periodically(EXPIRE_INTERVAL_S, self.expire_contents)
                     ),
@@ -432,7 +429,7 @@
             await self.close()
 
     async def listen(self) -> asyncio.Server:
-        """Open the three listeners."""
+        """Open the listeners for peers, operators and callers."""
         settings = self.settings
         try:
             peer_tls = server_context(settings.peer_tls)
@@ -458,12 +455,12 @@
         await site.start()
 
     async def drain(self) -> None:
-        """Become unready, tell the peers, and let requests in flight finish."""
+        """Become unready, notify peers, and wait for requests in flight."""
         timing = self.settings.timing
         log.info("stopping", extra={"in_flight": self.callers.admission.in_flight})
         self.is_stopping = True
         await self.membership.announce_leaving()
-        # The balancer needs a moment to see that this host is not ready.
+        # The load balancer needs time to notice that this host is not ready.
         await asyncio.sleep(timing.leave_notice_s)
         self.callers.is_stopping = True
         try:
@@ -475,7 +472,7 @@
         await self.leases.return_idle_leases()
 
     async def close(self) -> None:
-        """Close all that is open."""
+        """Close listeners, connections and sessions."""
         for runner in reversed(self.runners):
             await runner.cleanup()
         self.peers.close()
--- a/packages/daemon/src/sardinequay_daemon/keeper_events.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_events.py
@@ -1,4 +1,4 @@
-"""What the keeper's task hears: answers of engines and holders, and who keeps what."""
+"""Events of the keeper task: results of orders and reports, and changed assignments."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportArrived:
-    """Event: an engine answered what it was asked at `asked_at`."""
+    """Event: an engine returned the report that was requested at `asked_at`."""
 
     pool: PoolName
     report: EngineReport
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadEnded:
-    """Event: an order to load came to its end."""
+    """Event: a load order succeeded or failed."""
 
     pool: PoolName
     order: LoadCommand
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadEnded:
-    """Event: an order to evict came to its end."""
+    """Event: an eviction order succeeded or failed."""
 
     pool: PoolName
     order: UnloadCommand
@@ -49,16 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RecallEnded:
-    """Event: a holder answered a recall."""
+    """Event: a lease holder replied to a recall."""
 
     pool: PoolName
     order: RecallCommand
-    answer: Recalled
+    reply: Recalled
 
 
 @dataclass(frozen=True, slots=True)
 class AssignmentChanged:
-    """Event: what there is to keep, or who is alive, has changed."""
+    """Event: the bundle, the roster or the live members changed.
+
+    These determine which host is the keeper of which pool.
+    """
 
     bundle: Bundle
     roster: Roster
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -1,4 +1,9 @@
-"""The task that keeps engines: it carries out what the core's keepers decide."""
+"""The task that runs this host's keepers.
+
+A keeper is the host that alone orders loads and evictions on the engines of one pool in
+one data centre, and grants use leases on them to other hosts. Its state machine is in
+`sardinequay_core.keeper`; this module sends its commands and feeds it the results.
+"""
 
 import asyncio
 import contextlib
@@ -75,7 +80,15 @@
 
 @dataclass(slots=True)
 class KeepershipState:
-    """One keepership of this host, and who waits in it."""
+    """One keepership: a pool whose keeper is this host, and the hosts that wait.
+
+    Parameters
+    ----------
+    tickets : dict
+        Queued messages of the load requests that wait for a reply, by ticket.
+    holder_addresses : dict
+        Where to send recalls, by lease holder.
+    """
 
     keeper: Keeper
     tickets: dict[int, QueuedMessage]
@@ -83,12 +96,12 @@
 
 
 def keeper_rank(pool: PoolName, data_centre: DataCentre, hosts: list[str]) -> list[str]:
-    """Return hosts in the order in which they keep a pool in a data centre."""
+    """Return hosts ranked for a pool in a data centre; the first is its keeper."""
     return rank_members(f"keeper/{pool}/{data_centre}", hosts)
 
 
 class KeeperTask:
-    """Owns the keeperships of this host."""
+    """Owns the keeperships of this host; all changes pass through its inbox."""
 
     def __init__(
         self,
@@ -124,7 +137,7 @@
         rosters: reactivex.Observable[Roster],
         live: reactivex.Observable[tuple[Member, ...]],
     ) -> None:
-        """Follow what there is to keep, and who is alive to keep it."""
+        """Reassign keeperships at each change of the bundle, roster or live members."""
 
         def post_assignment(
             latest: tuple[Bundle | None, Roster, tuple[Member, ...]],
@@ -136,7 +149,7 @@
         reactivex.combine_latest(bundles, rosters, live).subscribe(post_assignment)
 
     async def run(self) -> None:
-        """Serve messages, read reports and tick for good."""
+        """Serve messages, request reports and run the keepers until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.inbox.handle_messages(self.handle_message))
             group.create_task(
@@ -145,15 +158,13 @@
             group.create_task(run_periodically(TICK_S, self.tick))
 
     def start_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run work beside the task; its result comes back as an event."""
+        """Run a coroutine in the background; it posts its result to the inbox."""
         task = asyncio.create_task(coroutine)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
 
-    # Who keeps what.
-
     def handle_assignment_change(self, event: AssignmentChanged) -> None:
-        """Take up keeperships that fall to this host, and drop others."""
+        """Create or update the keeperships assigned to this host; drop the others."""
         hosts = [str(m.host_id) for m in event.members]
         pools_to_keep = {
             pool.name: pool
@@ -167,11 +178,11 @@
             self.update_keepership(pool, targets)
 
     def is_keeper_of(self, pool: PoolName, hosts: list[str]) -> bool:
-        """Return whether this host is the first in the keepers' order."""
+        """Return whether this host ranks first among the keepers of a pool here."""
         return keeper_rank(pool, self.data_centre, hosts)[:1] == [self.me]
 
     def update_keepership(self, pool: PoolSettings, targets: list[Target]) -> None:
-        """Keep a pool's engines here, by the bundle's present policy."""
+        """Create the keepership of a pool if needed; set its policy and engines."""
         local = [t for t in targets if t.data_centre == self.data_centre]
         share = len(local) / len(targets) if targets else 0.0
         state = self.keeperships.get(pool.name)
@@ -185,7 +196,14 @@
         state.keeper.set_targets(local)
 
     def make_policy(self, pool: PoolSettings, share: float) -> KeeperPolicy:
-        """Return a keeper's policy; the store's rate is shared by engines."""
+        """Return a keeper's policy.
+
+        Parameters
+        ----------
+        share : float
+            Share of the pool's engines that are in this data centre, 0 to 1. The keeper
+            may use this share of the pool's load rate, which the weight store limits.
+        """
         return KeeperPolicy(
             lease_duration=timedelta(seconds=self.timing.lease_s),
             longest_request=timedelta(seconds=self.limits.longest_request_s),
@@ -199,50 +217,48 @@
         )
 
     def drop_keepership(self, pool: PoolName) -> None:
-        """Give up a keepership; those who wait find the new keeper."""
+        """Drop a keepership; hosts that wait are told to find the new keeper."""
         state = self.keeperships.pop(pool)
-        for envelope in state.tickets.values():
-            envelope.reply_with(NotKeeper())
+        for queued_message in state.tickets.values():
+            queued_message.reply_with(NotKeeper())
         log.info("keepership dropped", extra={"pool": pool})
 
-    # Messages and events.
-
-    def handle_message(self, envelope: QueuedMessage) -> None:
-        """Take one message."""
-        message = envelope.message
+    def handle_message(self, queued_message: QueuedMessage) -> None:
+        """Dispatch one message of a peer or event of a background task."""
+        message = queued_message.message
         if isinstance(message, AssignmentChanged):
             self.handle_assignment_change(message)
         elif isinstance(message, Acquire | Renew | GiveBack | Want):
-            self.handle_holder_request(envelope)
+            self.handle_holder_request(queued_message)
         elif message.pool in self.keeperships:
             self.handle_event(self.keeperships[message.pool], message)
 
-    def handle_holder_request(self, envelope: QueuedMessage) -> None:
-        """Answer a holder, if this host keeps what it means."""
-        message = envelope.message
+    def handle_holder_request(self, queued_message: QueuedMessage) -> None:
+        """Handle a lease holder's request, or reply that this host isn't the keeper."""
+        message = queued_message.message
         state = self.keeperships.get(message.keepership.pool)
         if state is None or message.keepership.data_centre != self.data_centre:
-            envelope.reply_with(NotKeeper())
+            queued_message.reply_with(NotKeeper())
             return
         now = self.clock.monotonic()
         if isinstance(message, Want):
-            self.queue_load_request(state, envelope, message, now)
+            self.queue_load_request(state, queued_message, message, now)
         elif isinstance(message, GiveBack):
             state.keeper.handle_lease_return(
                 message.holder, message.use, message.sequence
             )
-            envelope.reply_with(Taken())
+            queued_message.reply_with(Taken())
         else:
             state.holder_addresses[message.holder] = parse_address(
                 message.address
             ).unwrap()
             granted = self.grant_leases(state.keeper, message, now)
-            envelope.reply_with(self.granted_reply(state.keeper, granted))
+            queued_message.reply_with(self.granted_reply(state.keeper, granted))
 
     def grant_leases(
         self, keeper: Keeper, message: Acquire | Renew, now: Instant
     ) -> list[tuple[AdapterUse, timedelta]]:
-        """Grant or renew leases."""
+        """Grant or renew use leases; return each with its duration."""
         if isinstance(message, Renew):
             return keeper.handle_renew(
                 message.holder, message.uses, message.sequence, now
@@ -254,23 +270,25 @@
     def granted_reply(
         self, keeper: Keeper, uses: list[tuple[AdapterUse, timedelta]]
     ) -> Granted:
-        """Return leases with the reported load of their engines."""
+        """Return a reply with use leases and the reported load of their engines."""
         loads = []
         for target in sorted({use.target for use, _ in uses}):
             report = keeper.engines[target].report
             if report is not None:
                 loads.append(EngineLoad(target, report.running, report.waiting))
-        grants = tuple(GrantedUse(use, lasts.total_seconds()) for use, lasts in uses)
+        grants = tuple(
+            GrantedUse(use, duration.total_seconds()) for use, duration in uses
+        )
         return Granted(grants, tuple(loads))
 
     def queue_load_request(
         self,
         state: KeepershipState,
-        envelope: QueuedMessage,
+        queued_message: QueuedMessage,
         message: Want,
         now: Instant,
     ) -> None:
-        """Queue a request for a cold adapter, or give it up at once."""
+        """Queue a request to load an adapter, or refuse it if it cannot be in time."""
         ticket = next(self.ticket_ids)
         deadline = now + timedelta(seconds=message.wait_s)
         given_up = state.keeper.handle_load_request(
@@ -278,11 +296,11 @@
         )
         if given_up is not None:
             wait_s = given_up.retry_after.total_seconds()
-            envelope.reply_with(Wanted(False, wait_s))
+            queued_message.reply_with(Wanted(False, wait_s))
             return
-        state.tickets[ticket] = envelope
-        if envelope.reply is not None:
-            envelope.reply.add_done_callback(
+        state.tickets[ticket] = queued_message
+        if queued_message.reply is not None:
+            queued_message.reply.add_done_callback(
                 lambda _: self.cancel_ticket(state, ticket, message.adapter)
             )
         self.run_commands(state, message.keepership.pool)
@@ -290,12 +308,12 @@
     def cancel_ticket(
         self, state: KeepershipState, ticket: int, adapter: AdapterRef
     ) -> None:
-        """Forget a ticket that was answered or whose holder is gone."""
+        """Remove a ticket that was answered or whose connection ended."""
         if state.tickets.pop(ticket, None) is not None:
             state.keeper.queue.cancel_request(ticket, adapter)
 
     def handle_event(self, state: KeepershipState, event: Any) -> None:
-        """Take what engines and holders answered."""
+        """Apply an engine's report or the result of an order or a recall."""
         now = self.clock.monotonic()
         if isinstance(event, ReportArrived):
             state.keeper.handle_report(event.report, event.asked_at, now)
@@ -303,17 +321,17 @@
             self.handle_load_ended(state, event, now)
         elif isinstance(event, UnloadEnded):
             self.handle_unload_ended(state, event, now)
-        elif isinstance(event, RecallEnded) and event.answer.in_flight == 0:
+        elif isinstance(event, RecallEnded) and event.reply.in_flight == 0:
             order = event.order
             state.keeper.handle_lease_return(
-                order.holder, order.use, event.answer.sequence
+                order.holder, order.use, event.reply.sequence
             )
         self.run_commands(state, event.pool)
 
     def handle_load_ended(
         self, state: KeepershipState, event: LoadEnded, now: Instant
     ) -> None:
-        """Take the end of a load, and wake those who waited for it."""
+        """Record the end of a load order and answer the requests that waited for it."""
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
         self.metrics.loads.inc({"result": result})
@@ -336,16 +354,16 @@
             state.keeper.handle_load_failed(use, now)
 
     def answer_tickets(self, state: KeepershipState, tickets: tuple[int, ...]) -> None:
-        """Wake the requests that waited for a load."""
+        """Reply to the load requests of these tickets that the adapter is loaded."""
         for ticket in tickets:
-            envelope = state.tickets.pop(ticket, None)
-            if envelope is not None:
-                envelope.reply_with(Wanted(True))
+            queued_message = state.tickets.pop(ticket, None)
+            if queued_message is not None:
+                queued_message.reply_with(Wanted(True))
 
     def handle_unload_ended(
         self, state: KeepershipState, event: UnloadEnded, now: Instant
     ) -> None:
-        """Take the end of an eviction."""
+        """Record the end of an eviction order."""
         use = event.order.use
         result = event.error.fault.value if event.error else "done"
         self.metrics.evictions.inc({"result": result})
@@ -360,27 +378,25 @@
         else:
             state.keeper.handle_unload_failed(use)
 
-    # What the core decides, carried out.
-
     def tick(self) -> None:
-        """Let time pass for every keepership."""
+        """Run the commands that are due in every keepership."""
         for pool, state in list(self.keeperships.items()):
             self.run_commands(state, pool)
 
     def run_commands(self, state: KeepershipState, pool: PoolName) -> None:
-        """Carry out what the core decides now."""
+        """Run the commands that a keeper issues at this time."""
         for command in state.keeper.tick(self.clock.monotonic()):
             self.run_command(state, pool, command)
 
     def run_command(
         self, state: KeepershipState, pool: PoolName, command: Command
     ) -> None:
-        """Carry out one command."""
+        """Refuse a load request, or send a load, an eviction or a recall."""
         if isinstance(command, RejectWaiter):
-            envelope = state.tickets.pop(command.ticket, None)
-            if envelope is not None:
+            queued_message = state.tickets.pop(command.ticket, None)
+            if queued_message is not None:
                 wait_s = command.retry_after.total_seconds()
-                envelope.reply_with(Wanted(False, wait_s))
+                queued_message.reply_with(Wanted(False, wait_s))
             return
         target = state.keeper.engines[command.use.target].target
         if isinstance(command, LoadCommand):
@@ -393,7 +409,7 @@
             self.start_background(self.send_recall(state, pool, command))
 
     def record_load_order(self, state: KeepershipState, order: LoadCommand) -> None:
-        """Note why a load was ordered."""
+        """Record in the journal why a load was ordered."""
         adapter, now = order.use.adapter, self.clock.monotonic()
         queue = state.keeper.queue
         waiting = queue.waiting.get(adapter)
@@ -411,7 +427,7 @@
         )
 
     def record_unload_order(self, state: KeepershipState, order: UnloadCommand) -> None:
-        """Note why an eviction was ordered."""
+        """Record in the journal why an eviction was ordered."""
         queue, now = state.keeper.queue, self.clock.monotonic()
         self.journal.record(
             order_id("evict", order.token),
@@ -425,7 +441,7 @@
     async def send_load(
         self, pool: PoolName, target: Target, order: LoadCommand
     ) -> None:
-        """Order a load and wait for its end."""
+        """Send a load order and post its result."""
         started_at = self.clock.monotonic()
         result = await self.engines.load(target, order.use, order.token)
         duration = self.clock.monotonic() - started_at
@@ -434,23 +450,23 @@
     async def send_unload(
         self, pool: PoolName, target: Target, order: UnloadCommand
     ) -> None:
-        """Order an eviction and wait for its end."""
+        """Send an eviction order and post its result."""
         result = await self.engines.unload(target, order.use, order.token)
         self.inbox.post(UnloadEnded(pool, order, order_error(result)))
 
     async def send_recall(
         self, state: KeepershipState, pool: PoolName, order: RecallCommand
     ) -> None:
-        """Ask a holder to stop; a silent one's lease runs out."""
+        """Recall a use lease from its holder; without a reply the lease expires."""
         address = state.holder_addresses.get(order.holder)
         if address is None:
             return
-        answer = (await self.peers.call(address, Recall(order.use))).value_or(None)
-        if isinstance(answer, Recalled):
-            self.inbox.post(RecallEnded(pool, order, answer))
+        reply = (await self.peers.call(address, Recall(order.use))).value_or(None)
+        if isinstance(reply, Recalled):
+            self.inbox.post(RecallEnded(pool, order, reply))
 
     async def request_reports(self) -> None:
-        """Ask every kept engine for its report."""
+        """Request the reports of all engines of all keeperships."""
         requests = [
             self.request_report(pool, engine.target)
             for pool, state in self.keeperships.items()
@@ -459,7 +475,7 @@
         await asyncio.gather(*requests)
 
     async def request_report(self, pool: PoolName, target: Target) -> None:
-        """Ask one engine for its report."""
+        """Request one engine's report and post it; errors and timeouts are ignored."""
         asked_at = self.clock.monotonic()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.timing.lease_s / 2):
@@ -472,7 +488,7 @@
                     self.inbox.post(ReportArrived(pool, report, asked_at))
 
     def residency_snapshot(self) -> dict[str, dict[TargetId, list[str]]]:
-        """Return what is resident where, for operators."""
+        """Return the loaded adapters by pool and engine, for the status page."""
         return {
             str(pool): {
                 target: [str(a) for a in sorted(engine.resident)]
@@ -483,20 +499,20 @@
 
 
 def pool_engines(roster: Roster, pool: PoolName) -> list[Target]:
-    """Return a pool's engines over all data centres, leaving ones included."""
+    """Return a pool's engines in all data centres, including leaving ones."""
     return [t for t in roster.targets_in_pool(pool) if t.kind is TargetKind.ENGINE]
 
 
 def live_engines(roster: Roster, pool: PoolName) -> list[Target]:
-    """Return a pool's engines that take new work."""
+    """Return a pool's engines that accept new requests."""
     return [t for t in pool_engines(roster, pool) if t.presence is Presence.LIVE]
 
 
 def order_error(result: Result[None, TargetError]) -> TargetError | None:
-    """Return an order's error, if it failed."""
+    """Return the error of an order, or None if it succeeded."""
     return None if isinstance(result, Success) else result.failure()
 
 
 def order_id(kind: str, token: int) -> str:
-    """Return the id by which an operator asks about an order."""
+    """Return the id of an order in the journal, as operators look it up."""
     return f"{kind}-{token:x}"
--- a/packages/daemon/src/sardinequay_daemon/load_request_handler.py
+++ b/packages/daemon/src/sardinequay_daemon/load_request_handler.py
@@ -1,4 +1,4 @@
-"""Answers requests that wish for an adapter on an engine that this host orders."""
+"""Handles peers' requests to load an adapter on an engine that this host orders."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -15,14 +15,14 @@
 
 
 class LoadRequestHandler:
-    """Enters wishes in engines' books, and answers when they are met or must look on.
+    """Queues load requests at the engines' schedulers and replies when they end.
 
     Parameters
     ----------
-    ordered : mapping
-        The engines that this host orders; kept by its owner.
-    opens_in_s : callable
-        Returns in how long orders may be given, in seconds; infinite if never.
+    managed_engines : mapping
+        The engines that this host orders; updated by the caller.
+    orders_in_s : callable
+        Returns the time until orders may be sent, in seconds; infinite if never.
     """
 
     def __init__(
@@ -36,7 +36,11 @@
         self.clock = clock
 
     async def handle(self, message: WantAdapter) -> WantReply:
-        """Have an adapter loaded, and answer when requests can use it."""
+        """Have an adapter loaded, and reply when requests can use it.
+
+        Replies at once if the adapter is ready, if this host doesn't order the engine,
+        or if the load is expected to end after the request's deadline.
+        """
         engine = self.managed_engines.get(message.target)
         now = self.clock.monotonic()
         orders_in_s = self.orders_in_s()
@@ -58,7 +62,10 @@
     async def wait_until_loaded(
         self, engine: ManagedEngine, message: WantAdapter, waiter: Waiter
     ) -> WantReply:
-        """Wait until an adapter is there, or until the request is to look again."""
+        """Wait until an adapter is loaded, for at most `message.look_s`.
+
+        The sender then compares its targets again with the new expected wait.
+        """
         scheduler, adapter = engine.scheduler, message.adapter
         ticket = 0
         if adapter not in scheduler.loading_until:
@@ -83,7 +90,7 @@
     def queued_reply(
         self, scheduler: EngineScheduler, adapter: AdapterRef, waiter: Waiter
     ) -> WantReply:
-        """Return how long a request that has waited would still wait."""
+        """Return a reply with the remaining expected wait of a queued request."""
         orders_in_s = self.orders_in_s()
         if orders_in_s == NEVER_S:
             return WantReply(False, "ordering ended")
--- a/packages/daemon/src/sardinequay_daemon/main.py
+++ b/packages/daemon/src/sardinequay_daemon/main.py
@@ -24,7 +24,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the parser of the command line arguments."""
     parser = argparse.ArgumentParser(
         prog="sardinequayd", description="Serve LoRA adapters on this entry host."
     )
@@ -39,11 +39,11 @@
     """Run one host until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     tracing = Tracing(settings.traces, settings.host_id)
     try:
-        # Seeded by the system, drawn from in the process: requests draw often.
+        # Requests draw random numbers often, so only the seed comes from the system.
         random = Random(SystemRandom().getrandbits(128))
         await Host(settings, SystemClock(), random, tracing).run(stop)
     finally:
--- a/packages/daemon/src/sardinequay_daemon/managed_engine.py
+++ b/packages/daemon/src/sardinequay_daemon/managed_engine.py
@@ -1,4 +1,4 @@
-"""An engine that this host orders, and the words for its orders."""
+"""The state of an engine that this host orders, and the log subject of an order."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -16,7 +16,15 @@
 
 @dataclass(slots=True)
 class ManagedEngine:
-    """An engine that this host orders: its book, and the task that carries it out."""
+    """An engine that this host orders: its scheduler and the task that runs it.
+
+    Parameters
+    ----------
+    wake : asyncio.Event
+        Set when the scheduler may have a new step.
+    load_waiters : dict
+        Futures of the load requests that wait, by adapter.
+    """
 
     published: PublishedTarget
     scheduler: EngineScheduler
@@ -27,7 +35,10 @@
     task: asyncio.Task[None] | None = None
 
     def add_load_waiter(self, adapter: AdapterRef) -> asyncio.Future[None]:
-        """Return what is done when an adapter is there, and cancelled with the book."""
+        """Return a future that completes when the adapter is loaded.
+
+        It is cancelled when this host stops ordering the engine.
+        """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.load_waiters.setdefault(adapter, []).append(future)
         return future
@@ -35,7 +46,7 @@
     def remove_load_waiter(
         self, adapter: AdapterRef, future: asyncio.Future[None]
     ) -> None:
-        """Forget one that waits for an adapter."""
+        """Remove a future that waits for an adapter."""
         waiting = self.load_waiters.get(adapter, [])
         if future in waiting:
             waiting.remove(future)
@@ -43,7 +54,7 @@
             self.load_waiters.pop(adapter, None)
 
     def resolve_load_waiters(self) -> None:
-        """Answer those whose adapter is there."""
+        """Complete the futures of adapters that are loaded."""
         for adapter in tuple(self.load_waiters):
             if not self.scheduler.is_ready(adapter):
                 continue
@@ -53,7 +64,7 @@
 
 
 def order_subject(order: EngineOrder) -> str:
-    """Return what an order is about."""
+    """Return the base model or the adapter of an order."""
     if isinstance(order, LoadModel):
         return order.model
     assert isinstance(order, LoadAdapter | UnloadAdapter)
--- a/packages/daemon/src/sardinequay_daemon/order_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_lease_task.py
@@ -1,4 +1,9 @@
-"""Stands for the right to order a data centre's engines, and votes on it."""
+"""Runs elections for the order lease of a data centre, and votes in those of peers.
+
+The order lease is the exclusive right to send orders to the engines of a data centre. A
+host holds it while a majority of the data centre's hosts have voted for it; votes
+expire unless renewed. Its fencing token rises from holder to holder.
+"""
 
 import asyncio
 import logging
@@ -24,35 +29,39 @@
 from .serving_messages import Noted
 
 RENEW_INTERVAL_S = 0.3
-"""Between two rounds of ballots: three fit in a lease."""
+"""Interval between two rounds of ballots: three fit in a lease."""
 
 CAMPAIGN_STAGGER_S = 0.3
-"""How much later each further host stands, so that votes do not split."""
+"""Delay added for each host that goes first in an election, against split votes."""
 
 SPLIT_VOTE_BACKOFF_S = 0.6
-"""Two round trips of a canvass: who steps back less far wins the next one."""
+"""Upper bound of the random delay after a split vote: two round trips of an election.
+The host with the shortest delay wins the next election."""
 
 SUSPENDED_AFTER_LEASES = 1.5
-"""Leases between two steps after which a host was frozen: a slow canvass takes under
-one, and hosts that restart are chosen after two at the earliest."""
+"""Time between two steps, in leases, above which this process was suspended. A slow
+election takes less than one lease; restarted hosts can be elected after two leases at
+the earliest."""
 
 BALLOT_TIMEOUT_S = 0.3
-"""Bound on a voter's answer within a data centre."""
+"""Timeout of a ballot or a resignation sent to a voter of the same data centre."""
 
 log = logging.getLogger(__name__)
 
 
 class OrderLeaseTask:
-    """Owns this host's vote and its candidacy.
+    """Owns the voter and the candidate of this host.
 
     Parameters
     ----------
     is_first_start : bool
-        Whether the whole system starts for the first time: nobody has voted before.
-    began : timedelta
-        When this process began: votes of an earlier one were given before. Counted from
-        there, not from when its imports are done, orders begin about 0.4 s sooner after
-        all hosts were restarted.
+        Whether the whole system starts for the first time, so that no vote was given
+        before.
+    process_started_at : timedelta
+        Start of this process on the monotonic clock. An earlier process of this host
+        gave its votes before, so the voter abstains for one lease from then. Counting
+        from there, not from the end of the imports, lets orders resume about 0.4 s
+        sooner after all hosts were restarted.
     """
 
     def __init__(
@@ -97,26 +106,30 @@
 
     @property
     def orders_in_s(self) -> float:
-        """Return in how long orders may be given, in seconds; infinite if never."""
+        """Return the time until orders may be sent, in seconds; infinite if never."""
         if not self.is_holder:
             return float("inf")
         now = self.clock.monotonic()
         return max(0.0, (self.candidate.may_order_from - now).total_seconds())
 
     def apply_policy(self, policy: OrderPolicy) -> None:
-        """Take other times; they hold for what comes."""
+        """Replace the durations of the lease from now on."""
         self.policy = self.voter.policy = self.candidate.policy = policy
 
     def apply_catalogue(self, catalogue: Catalogue) -> None:
-        """Take the store's revision, which bounds forgotten tokens."""
+        """Pass the store's revision to the voter, as a bound on forgotten tokens.
+
+        A restarted voter has lost the highest fencing token that it voted for; the
+        revision gives an upper bound of it.
+        """
         if catalogue.revision:
             wall_s = self.clock.now().timestamp()
-            # Peers pass entries on up to seconds after they know of a later revision.
+            # Peers forward entries up to seconds after they know of a later revision.
             revision = max(catalogue.revision, self.newest_revision())
             self.voter.record_revision(revision, wall_s)
 
     async def step(self) -> float:
-        """Stand or renew; return how long to rest until the next look, in seconds."""
+        """Run or renew an election if due; return the delay to the next step (s)."""
         self.detect_suspension()
         if self.can_reclaim_lease():
             await self.run_election(is_return=True)
@@ -128,10 +141,10 @@
         return RENEW_INTERVAL_S / 4
 
     def can_reclaim_lease(self) -> bool:
-        """Return whether voters may have kept their votes for this host's last start.
+        """Return whether voters may still have votes for this host's last incarnation.
 
-        It then asks for these before it has waited to know all hosts: one that has been
-        up for longer has told it of them.
+        This host then requests these votes without first waiting to discover all hosts:
+        a host that has been up for longer has already sent it the list.
         """
         since_start = self.clock.monotonic() - self.process_started_at
         return (
@@ -143,10 +156,11 @@
         )
 
     def detect_suspension(self) -> None:
-        """Look for the voters anew after this host was frozen.
+        """Discover the voters again after this process was suspended.
 
-        Hosts that were leaving when it fell asleep, and so no voters, may have come
-        back and chosen another holder: alone in its own eyes, it ordered beside that.
+        Hosts that were leaving before the suspension did not count as voters. They may
+        have come back and elected another holder; if this host saw itself as the only
+        voter, two hosts would send orders at once.
         """
         now = self.clock.monotonic()
         previous_step_at, self.last_step_at = self.last_step_at, now
@@ -158,7 +172,7 @@
             self.fleet.restart_joining()
 
     def should_campaign(self) -> bool:
-        """Return whether to ask for votes now."""
+        """Return whether to request votes now, as the holder or as a candidate."""
         if self.has_resigned or not (
             self.fleet.has_joined() or self.has_reclaimed_lease
         ):
@@ -173,8 +187,8 @@
         if self.fleet.lease_holder() is not None:
             self.no_holder_since = now
             return False
-        # The host that started last goes first: where hosts are restarted one after
-        # the other, it is the one that stays.
+        # The host with the shortest uptime goes first: in a rolling restart it is the
+        # one that is not restarted again.
         own_rank = (round(self.fleet.uptime_s()), self.me)
         earlier_candidates = sum(
             1
@@ -187,18 +201,22 @@
         )
 
     async def run_election(self, is_return: bool = False) -> None:
-        """Ask all voters of the data centre at once, and again if a token was low."""
+        """Request the votes of all voters, twice if the first token was too low."""
         voters = self.fleet.voters(self.policy.lease_duration)
         if not self.candidate.is_holder:
             self.candidate.set_voters(voters)
         await self.request_votes(voters, is_return)
-        # A holder counts new voters once they were asked: between, it would lack votes.
+        # The holder adds new voters only after their votes were requested: otherwise
+        # it would lack a majority in between.
         self.candidate.set_voters(voters)
         if self.candidate.needs_higher_token(self.clock.monotonic()):
             await self.request_votes(voters, is_return)
 
     async def request_votes(self, voters: Iterable[HostId], is_return: bool) -> None:
-        """Ask each voter once, and hosts that leave, which count no more."""
+        """Send a ballot to each voter and each leaving host.
+
+        Votes of leaving hosts are not counted.
+        """
         ballot = self.candidate.build_ballot(self.data_centre, is_return)
         now = self.clock.monotonic()
         own_vote = self.voter.handle_ballot(ballot, now)
@@ -207,7 +225,11 @@
         await asyncio.gather(*(self.request_vote(v, ballot) for v in peers_to_ask))
 
     def back_off_after_split_vote(self) -> None:
-        """Step back after a split vote, so that votes lapse and one can win."""
+        """Withdraw the own vote after a lost election and delay the next candidacy.
+
+        Votes of a split vote expire in the meantime. The delay is random, so that one
+        candidate is first in the next election.
+        """
         now = self.clock.monotonic()
         self.candidate.update_holder(now)
         if self.candidate.is_holder:
@@ -217,7 +239,7 @@
         self.no_holder_since = now + self.policy.lease_duration + seconds(spread_s)
 
     async def request_vote(self, voter: HostId, ballot: Ballot) -> None:
-        """Ask one voter."""
+        """Send a ballot to one voter and record its vote."""
         address = self.fleet.address_of(voter)
         if address is None:
             return
@@ -229,32 +251,35 @@
             )
 
     async def handle_ballot(self, ballot: Ballot) -> Vote:
-        """Answer a peer's ballot with this host's vote."""
+        """Return this host's vote on a peer's ballot; denied for other data centres."""
         if ballot.data_centre != self.data_centre:
             return Vote(False, self.voter.holder, self.voter.highest_token, 0.0)
         return self.voter.handle_ballot(ballot, self.clock.monotonic())
 
     async def handle_resign(self, message: Resign) -> Noted:
-        """Take a holder's resignation."""
+        """Release the vote for a holder that resigned."""
         self.voter.handle_resign(message, self.clock.monotonic())
         self.fleet.record_lease_returned(message.holder)
         return Noted()
 
     def record_lease_lost(self) -> None:
-        """Note that the lease was lost, so that another may stand first."""
+        """Record the loss of the lease, so that another host can be elected first."""
         self.no_holder_since = self.clock.monotonic()
 
     def begin_leaving(self) -> None:
-        """Take that this host stops: it stands no more, and votes for nobody new.
+        """Stop candidacies and votes for new holders, because this host shuts down.
 
-        A holder keeps the lease while it drains; engines there are ordered until then.
+        A holder keeps the lease while it drains, so that engines still get orders.
         """
         self.voter.is_leaving = True
 
     async def resign(self) -> bool:
-        """Give the lease back, so that a successor need not wait it out.
+        """Release the lease, so that a successor need not wait until it expires.
 
-        Returns whether this host held it.
+        Returns
+        -------
+        bool
+            Whether this host held the lease.
         """
         self.has_resigned = True
         message = self.candidate.resign_lease(self.data_centre, self.clock.monotonic())
--- a/packages/daemon/src/sardinequay_daemon/order_task.py
+++ b/packages/daemon/src/sardinequay_daemon/order_task.py
@@ -1,7 +1,8 @@
-"""Orders the engines of this host's data centre, while it holds the lease for that.
+"""Sends orders to the engines of this data centre while this host has the order lease.
 
-One task an engine carries out what its book decides, one order at a time. The lease is
-checked right before an order's bytes leave, with nothing awaited in between.
+Orders load and unload adapters and base models. Each engine has one asyncio task, which
+sends the orders of the engine's scheduler one at a time. The lease is checked right
+before the bytes of an order are written, with no await in between.
 """
 
 import asyncio
@@ -37,27 +38,27 @@
 from .serving_ports import EngineOrders, OrderAccepted, OrderTerms
 
 LEASE_POLL_S = 0.08
-"""How often an order that waits for the lease looks at it."""
+"""Interval between checks of the order lease while an order waits for it."""
 
 REPORT_RETRY_PAUSE_S = 0.3
-"""After an engine that gave no report, before it is asked again."""
+"""Pause before the next report request after an engine returned no report."""
 
 HOLDINGS_MAX_AGE = seconds(0.05)
-"""For how long what engines hold is told as it was written last. A hub tells dozens of
-hosts within one period, and writes it anew at once when an engine's book changes."""
+"""Maximum age of the cached holdings in digests. A hub sends digests to dozens of hosts
+within one period; a change of an engine's scheduler replaces the cache at once."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedHoldings:
-    """What another holder told of an engine, and when."""
+    """Holdings of an engine as received from a peer, with the time of arrival."""
 
     holdings: EngineHoldings
     received_at: Instant
 
     def as_of(self, now: Instant) -> EngineHoldings:
-        """Return it with times counted from now."""
+        """Return the holdings with the times of pending loads counted from `now`."""
         ready_in_s = self.holdings.coming
         if not ready_in_s:
             return self.holdings
@@ -67,7 +68,18 @@
 
 
 class OrderTask:
-    """Owns the books of the engines."""
+    """Owns the schedulers of the engines and the tasks that send their orders.
+
+    Parameters
+    ----------
+    lease : OrderLeaseTask
+        Acquires and renews the order lease, the exclusive right to send orders to the
+        engines of a data centre.
+    uses : AdapterUses
+        Which adapters running requests use on each engine.
+    on_holdings_changed : callable
+        Called after an order or a report changed what an engine holds.
+    """
 
     def __init__(
         self,
@@ -101,18 +113,18 @@
 
     @property
     def orders_in_s(self) -> float:
-        """Return in how long orders may be given here, in seconds."""
+        """Return the time until this host may send orders, in seconds."""
         return self.lease.orders_in_s if self.managed_engines else float("inf")
 
     async def run(self) -> None:
-        """Stand for the lease, and order engines while it is held, for good."""
+        """Acquire and renew the order lease, and start or stop ordering with it."""
         while True:
-            rest_s = await self.lease.step()
+            pause_s = await self.lease.step()
             self.apply_lease_state()
-            await asyncio.sleep(rest_s)
+            await asyncio.sleep(pause_s)
 
     def apply_lease_state(self) -> None:
-        """Begin or end to order, as the lease says."""
+        """Start ordering if the lease was acquired; stop if it was lost."""
         is_holder = self.lease.is_holder
         if is_holder and not self.is_ordering:
             self.start_ordering()
@@ -120,7 +132,7 @@
             self.stop_ordering()
 
     def start_ordering(self) -> None:
-        """Open a book for each engine here."""
+        """Add every live engine of this data centre."""
         self.is_ordering = True
         targets = self.local_engines()
         if targets:
@@ -136,7 +148,7 @@
             self.add_engine(published)
 
     def stop_ordering(self) -> None:
-        """Close all books; what waits is told so."""
+        """Remove all engines; waiting load requests are refused."""
         self.is_ordering = False
         self.last_holdings_at = ZERO
         log.info("ordering ended", extra={"token": self.candidate.token})
@@ -145,12 +157,10 @@
         self.lease.record_lease_lost()
 
     async def resign(self) -> None:
-        """Stop ordering for good, and give the lease back."""
+        """Release the order lease and stop ordering for the rest of the process."""
         if await self.lease.resign():
             self.stop_ordering()
 
-    # Books.
-
     def local_engines(self) -> dict[TargetId, PublishedTarget]:
         """Return the live engines of this data centre."""
         config = self.catalogue.config
@@ -166,7 +176,7 @@
         }
 
     def apply_catalogue(self, catalogue: Catalogue) -> None:
-        """Follow engines that come and go."""
+        """Add, remove and reset engines to match a new catalogue."""
         self.catalogue = catalogue
         self.lease.apply_catalogue(catalogue)
         for target_id in self.peer_holdings.keys() - catalogue.targets.keys():
@@ -190,10 +200,11 @@
     def reset_scheduler(
         self, engine: ManagedEngine, published: PublishedTarget
     ) -> None:
-        """Begin anew with an engine that started again under its id.
+        """Replace the scheduler of an engine that restarted under the same id.
 
-        Nothing of the start before holds. Reports lag, so none is believed that may be
-        older than an order of the start before that reached this one.
+        No state of the previous incarnation applies. An order meant for it may have
+        reached the new one, and reports lag: the new scheduler starts in doubt, so that
+        it ignores reports that may be older than such an order.
         """
         previous = engine.scheduler
         log.info(
@@ -215,7 +226,10 @@
         engine.wake.set()
 
     def add_engine(self, published: PublishedTarget) -> None:
-        """Begin to order one engine."""
+        """Create the scheduler of an engine and start the task that runs it.
+
+        Recent load times are inherited from the previous holder of the order lease.
+        """
         target_id = published.target.target_id
         config = self.catalogue.config
         pool = config.pools[published.target.pool].engines if config else None
@@ -235,7 +249,7 @@
         engine.task = asyncio.create_task(self.run_scheduler(engine))
 
     def remove_engine(self, target_id: TargetId) -> None:
-        """Stop ordering one engine."""
+        """Cancel the task of an engine and the load requests that wait for it."""
         engine = self.managed_engines.pop(target_id)
         if engine.task is not None:
             engine.task.cancel()
@@ -244,7 +258,7 @@
                 future.cancel()
 
     async def run_scheduler(self, engine: ManagedEngine) -> None:
-        """Carry out what one engine's book decides, for as long as it is open."""
+        """Perform the steps of an engine's scheduler until the task is cancelled."""
         while True:
             scheduler = engine.scheduler
             now = self.clock.monotonic()
@@ -262,7 +276,7 @@
                 await self.wait_for_wake(engine, LEASE_POLL_S)
 
     async def wait_for_wake(self, engine: ManagedEngine, timeout_s: float) -> None:
-        """Wait until something is to be done, or for a while."""
+        """Wait until the engine's wake event is set, for at most `timeout_s`."""
         try:
             async with asyncio.timeout(timeout_s):
                 await engine.wake.wait()
@@ -270,7 +284,7 @@
             return
 
     def refresh_scheduler_inputs(self, engine: ManagedEngine) -> None:
-        """Tell a book its places, and the model that it is to load if it has none."""
+        """Set the scheduler's adapter slots, and its base model if none is loaded."""
         config = self.catalogue.config
         pool = config.pools.get(engine.published.target.pool) if config else None
         if pool is None or pool.engines is None:
@@ -287,15 +301,18 @@
     def least_replicated_model(
         self, pool: TargetPool, engines: EnginePool
     ) -> str | None:
-        """Return the model that the fewest engines of a pool hold."""
-        held = dict.fromkeys(engines.loadable_models(), 0)
+        """Return the base model that the fewest live engines of a pool have loaded."""
+        engine_counts = dict.fromkeys(engines.loadable_models(), 0)
         for other in self.catalogue.live_targets(pool.name):
-            for model in other.models & held.keys():
-                held[model] += 1
-        return min(held, key=lambda m: (held[m], m), default=None)
+            for model in other.models & engine_counts.keys():
+                engine_counts[model] += 1
+        return min(engine_counts, key=lambda m: (engine_counts[m], m), default=None)
 
     async def request_report(self, engine: ManagedEngine) -> None:
-        """Ask for a report and enter it."""
+        """Request an engine's report and record it in the scheduler.
+
+        A report of a later incarnation resets the scheduler instead.
+        """
         asked_at = self.clock.monotonic()
         report = await self.engines.report(engine.published.target)
         now = self.clock.monotonic()
@@ -306,9 +323,9 @@
                     engine, replace(engine.published, incarnation=status.incarnation)
                 )
                 return
-            number = engine.scheduler.change_number
+            change_number = engine.scheduler.change_number
             engine.scheduler.apply_report(status, asked_at, now)
-            if engine.scheduler.change_number != number:
+            if engine.scheduler.change_number != change_number:
                 self.log_holdings(engine, "report")
                 self.on_holdings_changed()
             return
@@ -319,7 +336,7 @@
         await self.wait_for_wake(engine, REPORT_RETRY_PAUSE_S)
 
     async def send_order(self, engine: ManagedEngine, order: EngineOrder) -> None:
-        """Send one order and enter its result."""
+        """Send one order and record its result in the scheduler."""
         scheduler, target = engine.scheduler, engine.published.target
         expected = scheduler.expected_order_count(order)
         terms = OrderTerms(self.me, self.candidate.token, expected)
@@ -328,7 +345,8 @@
         now = self.clock.monotonic()
         self.candidate.record_order(now)
         if scheduler is not engine.scheduler:
-            # The engine has started again meanwhile: the order was the last start's.
+            # The engine restarted while the order was sent, so the result is about
+            # the previous incarnation.
             self.record_order(engine, order, "void: the engine started again")
             return
         if isinstance(result, Success):
@@ -370,7 +388,7 @@
         )
 
     def log_holdings(self, engine: ManagedEngine, source: str) -> None:
-        """Log what an engine is now believed to hold."""
+        """Log the adapters that an engine is now assumed to have loaded."""
         log.info(
             "engine holds",
             extra={
@@ -381,7 +399,10 @@
         )
 
     async def handle_adapter_event(self, message: AdapterMissing | UseChanged) -> Noted:
-        """Take what a host tells of an adapter on an engine ordered here."""
+        """Handle a host's message about a missing adapter or a changed use count.
+
+        `AdapterMissing` of an earlier incarnation is ignored.
+        """
         if isinstance(message, UseChanged):
             use = message.use
             target_id = use.target
@@ -410,9 +431,10 @@
         return Noted()
 
     def record_peer_use(self, message: UseChanged) -> None:
-        """Take that a peer began or ended to use an adapter.
+        """Record that a peer began or ended to use an adapter.
 
-        The use of a host elsewhere may be counted by its hub already.
+        The use of a host in another data centre may already be part of the sums that
+        its hub sends; the end is then subtracted from the hub's count.
         """
         host_id, use = message.host_id, message.use
         known = self.uses.peers.get(host_id, {})
@@ -422,16 +444,17 @@
         else:
             self.uses.apply_peer_end(hub, use.target, use.adapter)
 
-    # Telling.
-
     def recent_holdings(self) -> tuple[EngineHoldings, ...]:
-        """Return what `holdings` did, now or a moment ago."""
+        """Return the cached holdings if recent enough, otherwise a new snapshot."""
         if self.clock.monotonic() - self.last_holdings_at > HOLDINGS_MAX_AGE:
             return self.holdings_snapshot()
         return self.last_holdings
 
     def holdings_snapshot(self) -> tuple[EngineHoldings, ...]:
-        """Return what to tell peers of the engines ordered here."""
+        """Return, and cache, the holdings of the engines that this host orders.
+
+        Engines of which nothing is known yet are left out.
+        """
         now = self.clock.monotonic()
         self.last_holdings_at = now
         self.last_holdings = tuple(
@@ -456,12 +479,15 @@
         return self.last_holdings
 
     def record_peer_holdings(self, holdings: EngineHoldings) -> None:
-        """Remember what another holder tells, to go on from it, and to pass it on."""
+        """Record the holdings that another lease holder sent.
+
+        They are forwarded to peers, and inherited if this host becomes the holder.
+        """
         now = self.clock.monotonic()
         self.peer_holdings[holdings.target] = ReceivedHoldings(holdings, now)
 
     def peer_holdings_snapshot(self, now: Instant) -> tuple[EngineHoldings, ...]:
-        """Return what other holders told of engines that this host does not order."""
+        """Return the received holdings of engines that this host does not order."""
         return tuple(
             received.as_of(now)
             for target, received in self.peer_holdings.items()
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -1,4 +1,8 @@
-"""A host for requests of any shape: its tasks put together, started, stopped."""
+"""An entry host on a platform with a metadata store: creates and runs its tasks.
+
+It relays requests of any format, described by the platform's call dialect, to engines
+and plain services.
+"""
 
 import asyncio
 import contextlib
@@ -58,20 +62,22 @@
 
 EXIT_PORT_IN_USE = 3
 PEER_TIMING = TimingSettings(call_timeout_s=0.6, silence_s=1.0, connect_timeout_s=0.4)
-"""Hosts of a region answer in milliseconds; a silent link must cost less than the time
-in which changes are to be followed."""
+"""Timeouts of calls to peers. Hosts of a region answer in milliseconds; a silent link
+must cost less than the time within which updates have to take effect."""
 
 ACCEPT_AFTER_STOP_S = 2.8
-"""After a stop signal, streams are begun for so long: the balancer asks once a second
-and stops sending after two bad answers. What begins later may outlast the grace."""
+"""Time after a stop signal during which new streams are accepted. The load balancer
+checks readiness once a second and stops sending after two failed checks. Streams that
+start later may outlast the grace period."""
 
 DRAIN_GRACE_SHARE = 0.94
-"""Share of the grace after which what is still in flight is given up; the rest is for
-ending the process before it is killed."""
+"""Share of the grace period after which requests in flight are abandoned; the rest is
+for ending the process before it is killed."""
 
 RESIGN_BEFORE_END_S = 0.5
-"""How long before its end a host that drains gives the lease back at the latest, in
-seconds: its voters' answers are waited for, and it is killed when its grace is over."""
+"""How long before the end of the drain the order lease is released at the latest, in
+seconds: the host waits for replies of its voters, and is killed when its grace period
+is over."""
 
 DRAIN_POLL_S = 0.05
 AnyRunner = web.AppRunner | web.ServerRunner
@@ -80,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What a deployment's adapter provides."""
+    """The host's profile and the interfaces that a platform's integration provides."""
 
     profile: HostProfile
     store: MetadataStore
@@ -89,12 +95,14 @@
 
 
 class ServingHost:
-    """One entry host before engines and plain services of any deployment.
+    """An entry host that relays requests to engines and plain services.
 
     Parameters
     ----------
-    began : timedelta
-        When this process began, on the clock's monotonic reading.
+    output : BoundedOutput
+        The buffered log output.
+    process_started_at : timedelta
+        Start of this process on the monotonic clock.
     """
 
     def __init__(
@@ -171,7 +179,7 @@
         )
         self.state.orders = self.orders
         self.upstream = Upstream(profile.callers.ip)
-        self.guard = ContentGuard(
+        self.content_guard = ContentGuard(
             profile.host_id,
             self.state.quarantine,
             TargetEndDetector(
@@ -197,7 +205,7 @@
                 self.metrics,
                 tracing,
             ),
-            self.guard,
+            self.content_guard,
         )
         self.server = RelayServer(
             self.relay,
@@ -218,11 +226,11 @@
         self.subscribe_tasks()
 
     def subscribe_tasks(self) -> None:
-        """Say which task hears of which change, and who answers which message."""
+        """Subscribe tasks to updates, and register the handlers of peers' messages."""
         self.store.catalogues.subscribe(self.state.apply_catalogue)
         self.store.catalogues.subscribe(self.orders.apply_catalogue)
         self.store.catalogues.subscribe(self.announce_catalogue)
-        self.store.catalogues.subscribe(self.guard.apply_catalogue)
+        self.store.catalogues.subscribe(self.content_guard.apply_catalogue)
         self.fleet.digests.subscribe(self.state.apply_digest)
         self.fleet.digests.subscribe(self.handle_peer_contents)
         self.fleet.digests.subscribe(self.digest_writer.handle_digest)
@@ -233,8 +241,8 @@
         self.lease.newest_revision = lambda: self.store.newest_revision
         server = self.peer_server
         server.register(Digest, self.fleet.answer_digest)
-        server.register(AskPermit, self.guard.handle_ask_permit)
-        server.register(PermitBack, self.guard.handle_permit_back)
+        server.register(AskPermit, self.content_guard.handle_ask_permit)
+        server.register(PermitBack, self.content_guard.handle_permit_back)
         server.register(FetchItems, self.store.handle_fetch)
         server.register(Ballot, self.lease.handle_ballot)
         server.register(Resign, self.lease.handle_resign)
@@ -243,7 +251,7 @@
         server.register(UseChanged, self.orders.handle_adapter_event)
 
     def apply_profile(self, profile: HostProfile) -> None:
-        """Take settings that changed: seeds and bounds; addresses stay."""
+        """Apply changed settings: seeds and bounds. Addresses need a restart."""
         self.profile = replace(self.profile, seeds=profile.seeds, bounds=profile.bounds)
         self.fleet.set_seeds(profile.seeds)
         self.state.apply_repeat_policy(profile.bounds.repeats)
@@ -251,30 +259,28 @@
         self.lease.apply_policy(OrderPolicy(quiet_period=profile.bounds.order_quiet))
         log.info("settings reloaded", extra={"seeds": [str(s) for s in profile.seeds]})
 
-    # Digests.
-
     def make_digest(self, host_id: HostId) -> Digest:
-        """Return what to tell a peer now."""
+        """Return the digest (heartbeat) to send to a peer now."""
         return self.digest_writer.build_digest(host_id)
 
     def announce_holdings(self) -> None:
-        """Let this host and its peers know what engines hold now."""
+        """Apply new holdings of engines on this host and announce them to peers."""
         now = self.clock.monotonic()
         for holdings in self.orders.holdings_snapshot():
             self.state.apply_holdings(holdings, now)
         self.fleet.request_update(far=True)
 
     def announce_catalogue(self, _: Catalogue) -> None:
-        """Let the hosts that this one reads the store for know that it has changed."""
+        """Announce a changed catalogue, if this host reads the store for others."""
         if self.fleet.is_reader():
             self.fleet.request_update(far=False)
 
     def handle_peer_contents(self, received: ReceivedDigest) -> None:
-        """Take what a peer knows against contents of requests."""
-        self.guard.apply_updates(received.digest.contents)
+        """Apply the updates about suspected contents in a peer's digest."""
+        self.content_guard.apply_updates(received.digest.contents)
 
     def handle_digest(self, received: ReceivedDigest) -> None:
-        """Fetch what a peer knows of the store and this host does not."""
+        """Fetch newer store items from a peer whose digest has a later revision."""
         digest = received.digest
         is_idle = self.fetch_task is None or self.fetch_task.done()
         self.store.record_peer_revision(digest.store_revision)
@@ -282,7 +288,7 @@
             self.fetch_task = asyncio.create_task(self.fetch_items(digest.host.host_id))
 
     async def fetch_items(self, host_id: HostId) -> None:
-        """Fetch items of the store from a peer."""
+        """Fetch store items from a peer and apply them."""
         address = self.fleet.address_of(host_id)
         if address is None:
             return
@@ -291,10 +297,8 @@
         if isinstance(reply, ItemsReply):
             self.store.apply_peer_items(reply)
 
-    # Life.
-
     def is_ready(self) -> bool:
-        """Return whether this host can serve: it knows what to serve, and by whom."""
+        """Return whether this host can serve: it has a configuration and targets."""
         catalogue = self.store.catalogue
         return (
             catalogue.config is not None
@@ -303,7 +307,7 @@
         )
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until told to stop, then let what is in flight finish."""
+        """Serve until `stop` is set, then let requests in flight finish."""
         peer_listener = await self.listen()
         log.info("started", extra={"data_centre": self.profile.data_centre})
         try:
@@ -326,14 +330,18 @@
             self.output.write_pending()
 
     async def run_housekeeping(self) -> None:
-        """Write what waits in the log, and keep memory from growing in cycles."""
+        """Flush the log, update gauges and expire contents, every half a second.
+
+        Objects created at start are excluded from garbage collection, to keep memory
+        from growing.
+        """
         gc.freeze()
         while True:
             await asyncio.sleep(0.5)
             self.output.write_pending()
             self.metrics.log_lines_left_out.set({}, self.output.left_out_lines)
             self.metrics.in_flight.set({}, self.server.in_flight)
-            self.guard.expire()
+            self.content_guard.expire()
             self.state.count_hosts()
             held = self.state.quarantine.held_contents(self.clock.monotonic())
             self.metrics.quarantined.set({}, len(held))
@@ -341,7 +349,7 @@
             self.metrics.config_version.set({}, config.version if config else 0)
 
     async def listen(self) -> asyncio.Server:
-        """Open the listeners."""
+        """Open the listeners for peers, readiness, metrics and callers."""
         profile = self.profile
         try:
             listener = await self.peer_server.start(profile.peers)
@@ -351,7 +359,9 @@
             await self.serve_http(ready, profile.readiness)
             metrics = web.AppRunner(
                 create_status_app(
-                    self.metrics.registry, self.status, self.guard.lift_quarantine
+                    self.metrics.registry,
+                    self.status,
+                    self.content_guard.lift_quarantine,
                 ),
                 access_log=None,
             )
@@ -372,11 +382,11 @@
         await web.TCPSite(runner, address.ip, address.port).start()
 
     def store_age_s(self) -> float:
-        """Return how long ago this host or a peer heard the store, in seconds."""
+        """Return the time since this host or a peer last read the store, in seconds."""
         return min(self.store.status().age_s, self.fleet.freshest_store_age_s())
 
     def status(self) -> dict[str, object]:
-        """Return what is in force on this host, for operators."""
+        """Return this host's state for the status page."""
         catalogue = self.store.catalogue
         return {
             "host": self.profile.host_id,
@@ -391,7 +401,9 @@
             "live_hosts": self.fleet.live_hosts,
             "orders_engines": self.lease.is_holder,
             "in_flight": self.server.in_flight,
-            "quarantined": [asdict(held) for held in self.guard.held_contents()],
+            "quarantined": [
+                asdict(held) for held in self.content_guard.held_contents()
+            ],
             "peers": sorted(p.contact.host_id for p in self.fleet.live_peers()),
             "targets": {
                 t: p.target.presence.value for t, p in catalogue.targets.items()
@@ -399,7 +411,11 @@
         }
 
     async def drain(self) -> None:
-        """Become unready, hand over, and let requests in flight finish."""
+        """Become unready, leave the fleet, and wait for requests in flight.
+
+        The order lease is released when they have ended, or shortly before the grace
+        period is over.
+        """
         drain_started_at = self.clock.monotonic()
         grace_s = self.profile.bounds.grace.total_seconds() * DRAIN_GRACE_SHARE
         log.info("stopping", extra={"in_flight": self.server.in_flight})
@@ -423,11 +439,11 @@
         await self.orders.resign()
 
     def has_open_connections(self) -> bool:
-        """Return whether callers still have connections that are closed in turn."""
+        """Return whether connections of callers are still open."""
         return bool(self.server.connections)
 
     async def close(self) -> None:
-        """Close all that is open."""
+        """Close listeners and connections."""
         for runner in reversed(self.runners):
             with contextlib.suppress(asyncio.TimeoutError):
                 await runner.cleanup()
--- a/packages/daemon/src/sardinequay_daemon/settings.py
+++ b/packages/daemon/src/sardinequay_daemon/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: JSON, checked field by field."""
+"""The daemon's settings file as data classes, with the allowed range of each field."""
 
 from dataclasses import dataclass, field
 from datetime import datetime
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardEntry:
-    """A guard of the founding view."""
+    """A guard of view 0."""
 
     host_id: HostId
     address: str
@@ -18,15 +18,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimSettings:
-    """How idempotency keys are guarded.
+    """Settings of claims on idempotency keys.
 
     Parameters
     ----------
     in_service_from : datetime
-        No request was served before this moment. Processes that started before it
+        Time before which no request was served. Processes that started before it
         cannot have forgotten a claim.
     founders : dict
-        The guards of each data centre at that moment. Never changed afterwards.
+        The guards of each data centre at that time (view 0). Never changed afterwards.
+    life_s : float
+        How long guards remember a claim.
+    window_s : float
+        How old a vote or a handover may be when it is counted.
+    lapse_s : float
+        How long a guard keeps voting without reading a host list that lists it.
+    list_lag_s : float
+        How far the platform's host list may lag behind.
     """
 
     in_service_from: datetime
@@ -39,7 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TrustSettings:
-    """Whose approvals a bundle needs: public keys in hexadecimal by id."""
+    """Keys that may approve bundles, and the number of approvals that a bundle needs.
+
+    Parameters
+    ----------
+    keys : dict
+        Public keys in hexadecimal, by key id.
+    """
 
     keys: dict[str, str]
     threshold: int = field(metadata={"range": (1, 100)})
@@ -47,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """Bounds on what one host takes on."""
+    """Limits on the requests of one host."""
 
     max_in_flight: int = field(default=1024, metadata={"range": (1, 1_000_000)})
     max_body_bytes: int = field(default=1_048_576, metadata={"range": (1024, 1 << 30)})
@@ -60,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSettings:
-    """What is logged."""
+    """Settings of the log."""
 
     level: str = field(
         default="INFO", metadata={"choices": ("DEBUG", "INFO", "WARNING", "ERROR")}
@@ -74,7 +88,8 @@
     Parameters
     ----------
     authority : str
-        Whose certificates the other side must show; empty to ask for none.
+        File of the authority that must have signed the other side's certificate; empty
+        to require no certificate.
     """
 
     certificate: str
@@ -89,8 +104,8 @@
     Parameters
     ----------
     advertised_peer_address : str
-        Where peers reach this host, as the platform lists it; empty if that is where
-        it listens.
+        Address at which peers reach this host, as in the platform's host list; empty
+        if it equals `peer_listener`.
     """
 
     host_id: HostId
--- a/packages/daemon/src/sardinequay_daemon/settings_check.py
+++ b/packages/daemon/src/sardinequay_daemon/settings_check.py
@@ -1,4 +1,4 @@
-"""Reading and checking settings: an error names the field, its value and what fits."""
+"""Reads and validates settings; errors name the field, its value and what fits."""
 
 import json
 import re
@@ -25,12 +25,12 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value as it is shown in an error."""
+    """Return a value as JSON for an error message, cut to `MAX_SHOWN_CHARS`."""
     return json.dumps(value, default=str)[:MAX_SHOWN_CHARS]
 
 
 def read_settings(path: Path) -> Result[Settings, SettingsError]:
-    """Read a settings file."""
+    """Read and validate a settings file."""
     try:
         text = path.read_text()
     except OSError as error:
@@ -39,7 +39,7 @@
 
 
 def parse_settings(text: str) -> Result[Settings, SettingsError]:
-    """Check settings given as JSON; the first fault is the error."""
+    """Parse and validate settings in JSON; return the first error found."""
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
@@ -57,7 +57,7 @@
 
 
 def dataclass_in_hint(hint: Any) -> type | None:
-    """Return the data class that a type hint stands for, optional or not."""
+    """Return the data class in a type hint, also if it is optional."""
     options = typing.get_args(hint) if isinstance(hint, types.UnionType) else (hint,)
     return next((o for o in options if is_dataclass(o)), None)  # type: ignore[return-value]
 
@@ -65,7 +65,7 @@
 def unknown_field_errors(
     raw: Any, settings_type: type, path: str
 ) -> Iterator[SettingsError]:
-    """Yield an error for each field that no setting has."""
+    """Yield an error for each unknown field."""
     if not isinstance(raw, dict):
         return
     hints = typing.get_type_hints(settings_type)
@@ -79,7 +79,7 @@
 
 
 def type_error(error: msgspec.ValidationError, raw: Any) -> SettingsError:
-    """Turn the decoder's error."""
+    """Convert a decoder error to a settings error."""
     message = str(error)
     match = ERROR_PATH.search(message)
     path = match["path"].removeprefix("$").removeprefix(".") if match else ""
@@ -94,7 +94,7 @@
 
 
 def value_at_path(raw: Any, path: str) -> object:
-    """Return the raw value at a dotted path, as far as it leads."""
+    """Return the raw value at a dotted path, or at its longest existing prefix."""
     value = raw
     for name in filter(None, path.split(".")):
         if isinstance(value, dict) and name in value:
@@ -103,7 +103,7 @@
 
 
 def range_errors(value: Any, path: str) -> Iterator[SettingsError]:
-    """Yield an error for each number or choice outside what its field allows."""
+    """Yield an error for each field outside its range or choices."""
     for field_spec in fields(value):
         inner_value = getattr(value, field_spec.name)
         field_path = f"{path}{field_spec.name}"
@@ -116,7 +116,7 @@
 def field_errors(
     field_spec: Field[Any], value: Any, field_path: str
 ) -> Iterator[SettingsError]:
-    """Yield an error if one field is outside its range or choices."""
+    """Yield an error for one field if it is outside its range or choices."""
     low, high = field_spec.metadata.get("range", (None, None))
     if low is not None and not low <= value <= high:
         yield SettingsError(field_path, format_value(value), f"{low} to {high}")
@@ -128,7 +128,7 @@
 
 
 def consistency_errors(settings: Settings) -> Iterator[SettingsError]:
-    """Yield an error for each field that does not fit the others."""
+    """Yield an error for each malformed address or inconsistency between fields."""
     for name in ADDRESS_FIELDS:
         value = getattr(settings, name)
         if not isinstance(parse_address(value), Success):
@@ -152,7 +152,7 @@
 
 
 def trust_errors(settings: Settings) -> Iterator[SettingsError]:
-    """Yield errors of the approvers' keys and the threshold."""
+    """Yield errors of the approval keys and their threshold."""
     trust = settings.trust
     for key_id, public in trust.keys.items():
         try:
@@ -167,7 +167,7 @@
 
 
 def claim_errors(settings: Settings) -> Iterator[SettingsError]:
-    """Yield errors of the founding guards and the moment of service."""
+    """Yield errors of the guards of view 0 and the durations of claims."""
     claims = settings.claims
     if claims.in_service_from.tzinfo is None:
         value = format_value(claims.in_service_from)
@@ -188,7 +188,7 @@
 
 
 def timing_errors(settings: Settings) -> Iterator[SettingsError]:
-    """Yield errors of durations that must exceed one another."""
+    """Yield errors of durations that must be longer than others."""
     timing, limits = settings.timing, settings.limits
     if timing.lease_s <= 2 * timing.report_s:
         allowed = f"more than twice timing.report_s, which is {timing.report_s}"
--- a/packages/daemon/src/sardinequay_daemon/shared_settings.py
+++ b/packages/daemon/src/sardinequay_daemon/shared_settings.py
@@ -1,17 +1,17 @@
-"""Settings of hosts in any deployment: links between hosts, and tracing."""
+"""Settings of hosts in any deployment: timing of calls between hosts, and tracing."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 
 def ranged_field(default: float, low: float, high: float) -> Any:
-    """Declare a number with its default and the range that is allowed."""
+    """Return a data class field for a number with a default and an allowed range."""
     return field(default=default, metadata={"range": (low, high)})
 
 
 @dataclass(frozen=True, slots=True)
 class TimingSettings:
-    """Periods and bounds between the system's own processes."""
+    """Intervals and timeouts of communication between hosts and with targets."""
 
     gossip_s: float = ranged_field(0.5, 0.05, 60)
     suspect_s: float = ranged_field(2, 0.1, 600)
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceSettings:
-    """Where spans go: an OTLP/HTTP address, a file of JSON lines, or nowhere.
+    """Where spans are exported: an OTLP/HTTP address, a file of JSON lines, or nowhere.
 
     Parameters
     ----------
     sample : float
-        Share of requests traced when the caller does not decide, 0 to 1.
+        Share of requests traced if the caller made no sampling decision, 0 to 1.
     """
 
     otlp: str = ""
--- a/packages/daemon/src/sardinequay_daemon/tls.py
+++ b/packages/daemon/src/sardinequay_daemon/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from the files that settings name."""
+"""Creates TLS contexts from the certificate and key files in the settings."""
 
 import ssl
 
@@ -9,7 +9,7 @@
 
 
 def server_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Return what a listener uses; it asks for certificates if an authority is set."""
+    """Return a listener's TLS context; with an authority, clients need certificates."""
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -20,18 +20,25 @@
 
 
 def client_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Return what calls to peers use: the same certificate, the other side checked."""
+    """Return the TLS context of calls to peers; it verifies their certificates."""
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    # Peers are named by IP numbers that change; the authority vouches for them.
+    # Peers are addressed by IP addresses that change, so certificates are verified
+    # against the authority only, not against host names.
     context.check_hostname = False
     load_certificates(context, tls)
     return context
 
 
 def load_certificates(context: ssl.SSLContext, tls: TlsSettings) -> None:
-    """Load the key, the certificate and the authority."""
+    """Load the key, the certificate and the authority into a context.
+
+    Raises
+    ------
+    StartError
+        If a file cannot be read or is not valid.
+    """
     try:
         context.load_cert_chain(tls.certificate, tls.key)
         if tls.authority:
--- a/packages/daemon/src/sardinequay_daemon/use_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/use_lease_task.py
@@ -1,7 +1,9 @@
-"""The holder's side: leases on engines, asked from their keepers and kept renewed.
+"""The holder's side of use leases: acquires them from keepers, renews and returns them.
 
-The dispatcher reads and counts leases by direct calls, without a message in between:
-a lease must be checked right before the bytes leave, with nothing awaited since.
+A use lease lets this host send requests for one adapter to one engine; the keeper does
+not evict the adapter meanwhile. The dispatcher checks and counts leases by direct
+calls, not by messages: a lease must be checked right before the bytes of a request are
+written, with no await in between.
 """
 
 import asyncio
@@ -42,7 +44,7 @@
 
 RENEWALS_PER_LEASE = 4
 AVOID_FOR = timedelta(seconds=3)
-"""How long an unreachable data centre is asked last, and a failed target avoided."""
+"""How long an unreachable data centre is tried last, and a failed target avoided."""
 KEEPERS_ASKED = 3
 RETRY_PAUSE_S = 0.1
 NO_KEEPER_RETRY = timedelta(seconds=2)
@@ -77,17 +79,17 @@
         self.engine_loads: dict[TargetId, EngineLoad] = {}
         self.avoided_data_centres: dict[DataCentre, Instant] = {}
         self.avoided_targets: dict[TargetId, Instant] = {}
-        self.acquiring: dict[AdapterRef, asyncio.Task[bool]] = {}
-        self.sending: set[asyncio.Task[None]] = set()
+        self.acquire_tasks: dict[AdapterRef, asyncio.Task[bool]] = {}
+        self.background_sends: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Renew leases for good."""
+        """Renew leases until cancelled."""
         await run_periodically(
             self.timing.lease_s / RENEWALS_PER_LEASE, self.renew_leases
         )
 
     def apply_roster(self, roster: Roster) -> None:
-        """Take the list; targets that leave get no new work from now on."""
+        """Replace the roster; leases on removed or leaving targets are recalled."""
         self.roster = roster
         self.targets = {t.target_id: t for t in roster.targets}
         for use, _ in self.lease_table.held_leases():
@@ -96,11 +98,9 @@
                 self.lease_table.handle_recall(use)
 
     def apply_members(self, members: tuple[Member, ...]) -> None:
-        """Take who is alive in this data centre."""
+        """Replace the live hosts of this data centre."""
         self.members = members
 
-    # Choosing a lease for one request.
-
     def best_lease(self, adapter: AdapterRef) -> AdapterUse | None:
         """Return the usable lease on the least busy engine."""
         now = self.clock.monotonic()
@@ -112,20 +112,20 @@
         return min(usable, key=self.load_key, default=None)
 
     def load_key(self, use: AdapterUse) -> tuple[int, int, AdapterUse]:
-        """Return how busy an engine is, by its last report and our own requests."""
+        """Return a sort key: waiting requests by the last report, then own requests."""
         engine_load = self.engine_loads.get(use.target)
         held = self.lease_table.leases[use]
         reported = engine_load.waiting if engine_load else 0
         return reported, held.in_flight, use
 
     def avoid_target(self, target: TargetId) -> None:
-        """Send nothing new to a target for a while, because a request failed there."""
+        """Avoid a target for `AVOID_FOR` after a request failed there."""
         self.avoided_targets[target] = self.clock.monotonic() + AVOID_FOR
 
     async def obtain_lease(
         self, pool: PoolName, adapter: AdapterRef, deadline: Instant
     ) -> Result[AdapterUse, Refusal]:
-        """Return a usable lease, waiting for a load if need be."""
+        """Return a usable lease; acquire one, or wait for a load, if there is none."""
         started_at = self.clock.monotonic()
         while True:
             use = self.best_lease(adapter)
@@ -143,22 +143,22 @@
                 return Failure(refusal)
 
     def observe_stall(self, started_at: Instant) -> None:
-        """Count how long a request waited, if it did."""
+        """Record in the metrics how long a request waited, if above 5 ms."""
         waited = self.clock.monotonic() - started_at
         if waited > timedelta(milliseconds=5):
             self.metrics.load_stall.observe({}, waited.total_seconds())
 
     async def acquire_leases(self, pool: PoolName, adapter: AdapterRef) -> bool:
-        """Ask for leases, once for all requests that ask at the same time."""
-        task = self.acquiring.get(adapter)
+        """Acquire leases with one message for all concurrent requests of an adapter."""
+        task = self.acquire_tasks.get(adapter)
         if task is None:
             task = asyncio.create_task(self.request_leases(pool, adapter))
-            self.acquiring[adapter] = task
-            task.add_done_callback(lambda _: self.acquiring.pop(adapter, None))
+            self.acquire_tasks[adapter] = task
+            task.add_done_callback(lambda _: self.acquire_tasks.pop(adapter, None))
         return await asyncio.shield(task)
 
     async def request_leases(self, pool: PoolName, adapter: AdapterRef) -> bool:
-        """Ask the keeper in the adapter's home; return whether it gave a lease."""
+        """Request leases from the home keeper; return whether one is usable."""
         sequence = self.lease_table.next_sequence()
         asked_at = self.clock.monotonic()
 
@@ -175,7 +175,7 @@
     def record_granted_leases(
         self, granted: Granted, asked_at: Instant, sequence: int
     ) -> None:
-        """Take leases, each counted from before it was asked for."""
+        """Record granted leases; each counts from the time of its request."""
         for grant in granted.uses:
             expires_at = asked_at + timedelta(seconds=grant.lasts_s)
             self.lease_table.record_grant(grant.use, expires_at, sequence)
@@ -185,7 +185,7 @@
     async def wait_for_load(
         self, pool: PoolName, adapter: AdapterRef, deadline: Instant
     ) -> Refusal | None:
-        """Wait until the adapter is loaded; return a refusal if it will not be."""
+        """Wait until a keeper has the adapter loaded; return a refusal if it can't."""
         remaining = deadline - self.clock.monotonic()
         wait_s = remaining.total_seconds()
 
@@ -206,8 +206,6 @@
         await asyncio.sleep(RETRY_PAUSE_S)
         return None
 
-    # Finding keepers.
-
     async def request_from_home(
         self,
         pool: PoolName,
@@ -215,7 +213,13 @@
         make_message: MessageMaker,
         timeout_s: float | None,
     ) -> Granted | Wanted | None:
-        """Ask the keeper in the adapter's home, or the next one that can be reached."""
+        """Call the keeper in the adapter's home data centre, or the next reachable one.
+
+        Parameters
+        ----------
+        make_message : callable
+            Makes the message to the keeper of a keepership.
+        """
         for data_centre in self.home_data_centres(pool, adapter):
             keepership = Keepership(pool, data_centre)
             reply = await self.request_from_keeper(
@@ -229,7 +233,10 @@
     def home_data_centres(
         self, pool: PoolName, adapter: AdapterRef
     ) -> list[DataCentre]:
-        """Return data centres in the order of the adapter, unreachable ones last."""
+        """Return data centres ranked for an adapter, the home first.
+
+        Data centres that could not be reached lately come last.
+        """
         weights: dict[str, float] = {}
         for target in live_engines(self.roster, pool):
             weights[target.data_centre] = weights.get(target.data_centre, 0) + 1
@@ -240,7 +247,7 @@
         )
 
     def keeper_candidates(self, keepership: Keepership) -> Iterator[Address]:
-        """Yield hosts to ask, the likely keeper first."""
+        """Yield the addresses of the most likely keepers, the first rank first."""
         local = keepership.data_centre == self.data_centre
         hosts: dict[str, Address] = {}
         if local:
@@ -258,22 +265,20 @@
         message: Acquire | Want | Renew | GiveBack,
         timeout_s: float | None,
     ) -> object:
-        """Ask likely keepers until one is it."""
+        """Call the likely keepers in turn; return the reply of the actual keeper."""
         for address in self.keeper_candidates(keepership):
             reply = await self.peers.call(address, message, timeout_s)
             if isinstance(reply, Success) and not isinstance(reply.unwrap(), NotKeeper):
                 return reply.unwrap()
         return PeerError(keepership.data_centre, "no keeper")
 
-    # Keeping and returning leases.
-
     def keepership_of(self, use: AdapterUse) -> Keepership | None:
-        """Return who keeps the engine of a use."""
+        """Return the keepership of a use's engine; None if it is not in the roster."""
         target = self.targets.get(use.target)
         return Keepership(target.pool, target.data_centre) if target else None
 
     async def renew_leases(self) -> None:
-        """Renew all leases, one message to each keeper."""
+        """Renew all leases with one message to each keeper."""
         self.lease_table.expire_idle(self.clock.monotonic())
         held = [
             (k, u, n)
@@ -292,7 +297,7 @@
     async def renew_with_keeper(
         self, keepership: Keepership, uses: list[tuple[AdapterUse, int]]
     ) -> None:
-        """Renew leases with one keeper; what it does not renew is recalled."""
+        """Renew leases with one keeper; leases that it doesn't renew are recalled."""
         sequence = self.lease_table.next_sequence()
         asked_at = self.clock.monotonic()
         address = str(self.address)
@@ -307,38 +312,44 @@
                 self.return_lease(use)
 
     async def handle_recall(self, message: Recall) -> Recalled:
-        """Stop using an adapter on an engine because its keeper asks."""
+        """Handle a keeper's recall: use the lease for no further request."""
         in_flight = self.lease_table.handle_recall(message.use)
         return Recalled(in_flight, self.lease_table.next_sequence())
 
     def begin_request(self, use: AdapterUse) -> bool:
-        """Count a request in, right before its bytes leave."""
+        """Record the start of a request, right before its bytes are written.
+
+        Returns
+        -------
+        bool
+            False if the lease is no longer usable.
+        """
         return self.lease_table.begin_request(use, self.clock.monotonic())
 
     def end_request(self, use: AdapterUse) -> None:
-        """Count a request out, and return the lease if it was recalled."""
+        """Record the end of a request; return the lease if it was recalled."""
         if self.lease_table.end_request(use):
             self.return_lease(use)
 
     def return_lease(self, use: AdapterUse) -> None:
-        """Tell the keeper that a lease is returned, without waiting."""
+        """Return a lease to its keeper in the background."""
         keepership = self.keepership_of(use)
         if keepership is None:
             return
         sequence = self.lease_table.next_sequence()
         message = GiveBack(keepership, self.holder, use, sequence)
         task = asyncio.create_task(self.send_return(keepership, message))
-        self.sending.add(task)
-        task.add_done_callback(self.sending.discard)
+        self.background_sends.add(task)
+        task.add_done_callback(self.background_sends.discard)
 
     async def send_return(self, keepership: Keepership, message: GiveBack) -> None:
-        """Send a return; if it is lost the lease runs out."""
+        """Send the return of a lease; if the message is lost, the lease expires."""
         await self.request_from_keeper(keepership, message, None)
 
     async def return_idle_leases(self) -> None:
-        """Return every lease that no request runs on, when the host stops."""
+        """Return all leases without a running request, when the host stops."""
         for use, in_flight in self.lease_table.held_leases():
             if not in_flight:
                 self.lease_table.return_lease(use)
                 self.return_lease(use)
-        await asyncio.gather(*self.sending)
+        await asyncio.gather(*self.background_sends)
--- a/packages/daemon/tests/conftest.py
+++ b/packages/daemon/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures shared by the daemon's tests: settings, metrics, and a clock to turn."""
+"""Fixtures shared by the daemon's tests: settings, metrics and a manual clock."""
 
 from datetime import UTC, datetime, timedelta
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class ManualClock:
-    """A clock that stands still until it is turned."""
+    """A clock that moves only when a test advances it."""
 
     def __init__(self) -> None:
         self.since_boot = timedelta(seconds=1000)
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def raw_settings() -> dict[str, Any]:
-    """Good settings, to be spoiled field by field."""
+    """Return valid settings, in which tests change single fields."""
     return {
         "host_id": "tukwila-0",
         "data_centre": "tukwila",
--- a/packages/daemon/tests/test_errors.py
+++ b/packages/daemon/tests/test_errors.py
@@ -1,4 +1,8 @@
-"""Errors pass through every context manager on their way out."""
+"""Errors pass unchanged through context managers.
+
+The interpreter sets the traceback of a raised error. A frozen data class refuses that,
+and the request then ends with another error.
+"""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -24,8 +28,6 @@
     ],
 )
 async def test_error_passes_through_context_managers(error: Exception) -> None:
-    # Found in trials: the interpreter sets an error's traceback, which an error that is
-    # a frozen data class refuses, so that the request ended with another error.
     @asynccontextmanager
     async def empty_context() -> AsyncIterator[None]:
         yield
--- a/packages/daemon/tests/test_order_lease_task.py
+++ b/packages/daemon/tests/test_order_lease_task.py
@@ -1,4 +1,4 @@
-"""Standing for the right to order: what a host that starts again knows of before."""
+"""Elections for the order lease on a host that restarted or was suspended."""
 
 from random import Random
 
@@ -12,17 +12,17 @@
 
 
 class FakeFleet:
-    """Hosts as a test has them: none that stays."""
+    """A fleet without other hosts, which records calls of `restart_joining`."""
 
     def __init__(self) -> None:
         self.has_joined_now = True
-        self.rejoined = 0
+        self.join_restarts = 0
 
     def has_joined(self) -> bool:
         return self.has_joined_now
 
     def restart_joining(self) -> None:
-        self.rejoined += 1
+        self.join_restarts += 1
         self.has_joined_now = False
 
     def lease_holder(self):
@@ -52,7 +52,7 @@
     process_started_at = clock.monotonic()
     clock.advance(imports_s)
     me = HostId("h1")
-    made = OrderLeaseTask(
+    task = OrderLeaseTask(
         me,
         "za",
         None,
@@ -63,32 +63,33 @@
         is_first_start,
         process_started_at,
     )
-    made.voter.record_revision(1, 0.0)
-    return made
+    task.voter.record_revision(1, 0.0)
+    return task
 
 
 def test_voter_abstains_for_one_lease_after_the_process_started(clock) -> None:
     task = start_task(clock, imports_s=0.4, is_first_start=False)
     ballot = Ballot(HostId("h2"), "za", 10_000)
     clock.advance(LEASE_S - 0.4 - 0.01)
-    assert not task.voter.vote(ballot, clock.monotonic()).granted
+    assert not task.voter.handle_ballot(ballot, clock.monotonic()).granted
     clock.advance(0.02)
-    vote = task.voter.vote(ballot, clock.monotonic())
+    vote = task.voter.handle_ballot(ballot, clock.monotonic())
     assert vote.granted
     assert 0.0 <= vote.quiet_s < 0.02
 
 
 def test_voter_grants_at_once_on_the_first_start_of_the_system(clock) -> None:
     task = start_task(clock, imports_s=0.4, is_first_start=True)
-    vote = task.voter.vote(Ballot(HostId("h2"), "za", 1), clock.monotonic())
+    vote = task.voter.handle_ballot(Ballot(HostId("h2"), "za", 1), clock.monotonic())
     assert vote.granted
     assert vote.quiet_s == float("inf")
 
 
 def test_restarted_voter_bounds_tokens_by_the_newest_known_revision(clock) -> None:
-    """Peers pass on entries that were only renewed up to seconds later.
+    """Peers forward entries up to seconds after later revisions exist.
 
-    Taken for the newest, their revision bounds tokens that were given since too low.
+    If the voter took the revision of such an entry for the newest, its bound would be
+    below tokens that were issued since.
     """
     task = OrderLeaseTask(
         HostId("h1"),
@@ -106,10 +107,13 @@
     assert task.voter.highest_token >= upper_token_bound(80, 0.0)
 
 
-async def test_suspended_host_rejoins_before_it_requests_votes(
+async def test_suspended_host_restarts_joining_before_it_requests_votes(
     clock, monkeypatch
 ) -> None:
-    """Its neighbours were leaving, so it held the lease by its own vote alone."""
+    """Its peers were leaving, so it held the lease by its own vote alone.
+
+    After the suspension they may be back and have elected another holder.
+    """
 
     async def skip_sleep(_: float) -> None:
         return
@@ -123,7 +127,7 @@
     assert task.is_holder
     clock.advance(4.0)
     await task.step()
-    assert task.fleet.rejoined == 1
+    assert task.fleet.join_restarts == 1
     assert not task.is_holder
     task.fleet.has_joined_now = True
     await task.step()
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -1,4 +1,9 @@
-"""Ordering engines: what holds only for one start of an engine."""
+"""Orders to engines that restart, and the cache of engine holdings.
+
+An engine that restarts under its id loses its adapters. Holdings, replies and reports
+of the previous incarnation must not count for the new one, or requests are sent to
+adapters that are not loaded.
+"""
 
 import asyncio
 from dataclasses import replace
@@ -38,11 +43,11 @@
 E = TargetId("e")
 A = AdapterRef("m/a", "1")
 FIRST_INCARNATION, SECOND_INCARNATION = 1_000, 2_000
-"""When the engine started, and when it started again, in Unix milliseconds."""
+"""Times at which the engine started and restarted, in Unix milliseconds."""
 
 
 class FakeLease:
-    """A lease that this host holds."""
+    """An order lease that this host always holds."""
 
     def __init__(self) -> None:
         self.candidate = OrderCandidate(HostId("h1"), OrderPolicy(), is_holder=True)
@@ -56,7 +61,7 @@
 
 
 class FakeEngines:
-    """Answers orders and reports as a test says, when it says so."""
+    """Returns the test's report, and accepts orders once `may_answer` is set."""
 
     def __init__(self) -> None:
         self.may_answer = asyncio.Event()
@@ -104,7 +109,7 @@
 @pytest.fixture
 def task(engines, clock) -> OrderTask:
     clock.advance(100)
-    made = OrderTask(
+    task = OrderTask(
         HostId("h1"),
         "za",
         engines,
@@ -114,16 +119,16 @@
         AdapterUses(),
         lambda: None,
     )
-    made.catalogue = catalogue(FIRST_INCARNATION)
-    made.is_ordering = True
+    task.catalogue = catalogue(FIRST_INCARNATION)
+    task.is_ordering = True
     scheduler = EngineScheduler(E, 2, FIRST_INCARNATION)
     scheduler.apply_report(
         status_holding(FIRST_INCARNATION, A), clock.monotonic(), clock.monotonic()
     )
-    made.managed_engines[E] = ManagedEngine(
+    task.managed_engines[E] = ManagedEngine(
         published_engine(FIRST_INCARNATION), scheduler
     )
-    return made
+    return task
 
 
 def test_listing_of_a_later_incarnation_resets_the_scheduler(
--- a/packages/daemon/tests/test_settings.py
+++ b/packages/daemon/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: an error names the field, its value and what is allowed."""
+"""Validation of settings: errors have the field, its value and what is allowed."""
 
 import json
 from typing import Any
--- a/packages/daemon/tests/test_tls.py
+++ b/packages/daemon/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS between hosts: both sides show certificates of one authority."""
+"""TLS between hosts: both sides must have certificates of the same authority."""
 
 from collections.abc import AsyncIterator
 from datetime import UTC, datetime, timedelta
@@ -24,7 +24,7 @@
 
 
 def make_certificate(directory: Path, name: str) -> TlsSettings:
-    """Make an authority of a name and a certificate by it."""
+    """Create a self-signed certificate, which is its own authority."""
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     key = ec.generate_private_key(ec.SECP256R1())
     start = datetime.now(UTC) - timedelta(days=1)
