--- a/packages/core/src/sardinequay_core/__init__.py
+++ b/packages/core/src/sardinequay_core/__init__.py
@@ -1,8 +1,8 @@
-"""The decisions of sardinequay, without input or output.
+"""State machines and decision logic of sardinequay, without input or output.
 
-Every module here is pure: it reads no clock, opens no socket, starts no task. State is
-owned by the daemon's tasks, which feed it events and carry out what it decides. The
-names below are the ones to begin with; each module's own names are public, too.
+Modules of this package read no clock, open no socket and start no task. The daemon's
+tasks own the state objects, pass events to them and carry out the decisions that they
+return. This module re-exports the main classes; all names of the modules are public.
 """
 
 from importlib import import_module
@@ -51,10 +51,10 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import a public name's module when the name is first asked for.
+    """Import the module of an exported name on first access.
 
-    A host that verifies no signatures does not load the library for them, which takes
-    8 MB of its memory (resident memory after the import of this package).
+    Loading lazily saves a process that verifies no signatures the cryptography
+    library, which takes 8 MB of resident memory after the import of this package.
     """
     module = MODULES.get(name)
     if module is None:
--- a/packages/core/src/sardinequay_core/approval.py
+++ b/packages/core/src/sardinequay_core/approval.py
@@ -1,4 +1,4 @@
-"""Approvals of bundles: Ed25519 signatures over the root, counted to a threshold."""
+"""Bundle approvals: Ed25519 signatures over the root, checked against a threshold."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
 from .names import Digest
 
 SIGNATURE_DOMAIN = b"sardinequay bundle root\x00"
-"""Prefix of what is signed, so that a signature serves no other purpose."""
+"""Domain-separation prefix of signed messages: a signature is valid for roots only."""
 
 
 @dataclass(frozen=True, slots=True)
 class Approval:
-    """One approver's signature in hexadecimal."""
+    """One approver's signature of a root, in hexadecimal."""
 
     key_id: str
     signature: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SignedRoot:
-    """A root with the approvals it has so far."""
+    """A root with its collected approvals."""
 
     root: Root
     approvals: tuple[Approval, ...] = ()
@@ -38,15 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ApprovalPolicy:
-    """Whose approvals count, and how many a bundle needs.
+    """The trusted approver keys and the number of approvals a bundle needs.
 
     Parameters
     ----------
     keys : mapping of str to str
-        Public keys in hexadecimal by their ids.
+        Public keys in hexadecimal, by key id.
     threshold : int
-        More than half of the keys, so that two different bundles with one version
-        share an approver, who must not sign both.
+        More than half of the keys, so that two different bundles with the same version
+        have an approver in common, who must not sign both.
     """
 
     keys: Mapping[str, str]
@@ -54,7 +54,7 @@
 
 
 def root_bytes(root: Root) -> bytes:
-    """Return the canonical form of a root."""
+    """Return the canonical JSON encoding of a root."""
     return msgspec.json.encode(root, order="deterministic")
 
 
@@ -64,19 +64,19 @@
 
 
 def encode_signed_root(signed: SignedRoot) -> bytes:
-    """Return what the platform publishes as the root's value."""
+    """Return the JSON encoding of a signed root as the platform publishes it."""
     return msgspec.json.encode(signed, order="deterministic")
 
 
 def add_approval(signed: SignedRoot, key_id: str, key: Ed25519PrivateKey) -> SignedRoot:
-    """Return the root with one more approval; an older one by this key is replaced."""
+    """Return the root with an approval by `key`; replaces one of the same `key_id`."""
     signature = key.sign(SIGNATURE_DOMAIN + root_bytes(signed.root)).hex()
     others = tuple(a for a in signed.approvals if a.key_id != key_id)
     return SignedRoot(signed.root, (*others, Approval(key_id, signature)))
 
 
 def valid_approvers(signed: SignedRoot, trust: ApprovalPolicy) -> set[str]:
-    """Return the ids of trusted keys whose signature holds."""
+    """Return the ids of the trusted keys with a valid signature of the root."""
     message = SIGNATURE_DOMAIN + root_bytes(signed.root)
     return {a.key_id for a in signed.approvals if is_valid_signature(a, message, trust)}
 
@@ -84,7 +84,7 @@
 def is_valid_signature(
     approval: Approval, message: bytes, trust: ApprovalPolicy
 ) -> bool:
-    """Return whether a trusted key made this signature over `message`."""
+    """Return whether the approval is a trusted key's valid signature of `message`."""
     public = trust.keys.get(approval.key_id)
     if public is None:
         return False
@@ -97,14 +97,14 @@
 
 
 def parse_signed_root(data: bytes) -> Result[SignedRoot, BundleError]:
-    """Read a signed root without judging its approvals."""
+    """Parse a signed root without checking its approvals."""
     if len(data) > MAX_VALUE_BYTES:
         return Failure(BundleError("too_large", f"root of {len(data)} bytes"))
     return decode_json(data, SignedRoot, "root").bind(check_root_format)
 
 
 def check_root_format(signed: SignedRoot) -> Result[SignedRoot, BundleError]:
-    """Refuse roots of another format or with impossible fields."""
+    """Reject a root with an unsupported format, a bad version or a bad index."""
     root = signed.root
     if root.format != FORMAT:
         return Failure(BundleError("format", f"format {root.format}, not {FORMAT}"))
@@ -116,7 +116,7 @@
 def verify_signed_root(
     data: bytes, trust: ApprovalPolicy
 ) -> Result[SignedRoot, BundleError]:
-    """Read a signed root and check that enough trusted keys approved it."""
+    """Parse a signed root and check that enough trusted keys approved it."""
     return parse_signed_root(data).bind(
         lambda signed: check_approval_threshold(signed, trust)
     )
@@ -125,7 +125,7 @@
 def check_approval_threshold(
     signed: SignedRoot, trust: ApprovalPolicy
 ) -> Result[SignedRoot, BundleError]:
-    """Refuse a root with too few valid approvals."""
+    """Reject a root with fewer valid approvals than the threshold."""
     count = len(valid_approvers(signed, trust))
     if count < trust.threshold:
         detail = f"{count} of {trust.threshold} approvals"
@@ -134,7 +134,7 @@
 
 
 class RootComparison(Enum):
-    """What to do with a verified root beside the one in force."""
+    """How a verified root relates to the root in force."""
 
     NEWER = "newer"
     SAME = "same"
@@ -143,7 +143,10 @@
 
 
 def compare_roots(offered: Root, in_force: Root | None) -> RootComparison:
-    """Judge an offered root: versions only rise, and one version is one bundle."""
+    """Compare an offered root with the root in force.
+
+    Two roots with the same version must be identical; otherwise they conflict.
+    """
     if in_force is None or offered.version > in_force.version:
         return RootComparison.NEWER
     if offered.version < in_force.version:
--- a/packages/core/src/sardinequay_core/bundle.py
+++ b/packages/core/src/sardinequay_core/bundle.py
@@ -1,8 +1,9 @@
-"""Bundles: what is offered, to whom, and by which policy.
+"""Bundles: the versioned configuration of adapters, callers, pools and services.
 
-A bundle is a tree of content-addressed blobs under a signed root. Adapters are spread
-over `LEAVES` leaves by a hash of their name, so that changing one adapter rewrites one
-leaf, one index node and the root, each a few kilobytes at 19,000 adapters.
+A bundle is a Merkle tree of content-addressed blobs under a signed root. Adapters are
+distributed over `LEAVES` leaves by a hash of their name. Changing one adapter therefore
+rewrites only one leaf, one index node and the root, each of which is a few kilobytes at
+19,000 adapters.
 """
 
 import zlib
@@ -24,14 +25,14 @@
 FANOUT = 16
 LEAVES = FANOUT * FANOUT
 MAX_VALUE_BYTES = 1_000_000
-"""The configuration service's limit for one value."""
+"""Maximum size of one value in the configuration service, in bytes."""
 MAX_BLOB_BYTES = 8 * MAX_VALUE_BYTES
-"""Unpacked size that a blob may reach, against decompression bombs."""
+"""Maximum decompressed size of a blob, in bytes; guards against decompression bombs."""
 
 
 @dataclass(frozen=True, slots=True)
 class Adapter:
-    """One adapter: the versions offered and the callers who may name it."""
+    """One adapter: its offered versions and the callers allowed to request it."""
 
     name: str
     base_model: str
@@ -42,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """One caller, known by the SHA-256 of its token in hexadecimal.
+    """One caller, identified by the SHA-256 digest of its token in hexadecimal.
 
     Parameters
     ----------
     max_priority : int
-        The highest priority that its requests may ask for, 0 to 9.
+        The highest priority that its requests may have, 0 to 9.
     """
 
     name: CallerName
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementWeights:
-    """How much each measure counts in a pool's placement, 0 to 1."""
+    """Weights of the placement criteria of a pool, 0 to 1 each."""
 
     load_stalls: float = 0.5
     batch_efficiency: float = 0.5
@@ -65,16 +66,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """A set of alike targets.
+    """The configuration of a pool, a set of interchangeable targets.
 
     Parameters
     ----------
     loads_per_s : float
-        The weight store's rate for this pool over all data centres; 0 for services.
+        Adapter loads per second that the weight store allows this pool in all data
+        centres together; 0 for services.
     slots : int
-        How many adapters one engine holds at once; 0 for services.
+        Number of adapters that one engine can hold at once; 0 for services.
     max_running : int
-        Requests one target takes at once before others wait.
+        Number of requests that one target runs concurrently; further requests wait.
     """
 
     name: PoolName
@@ -87,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service under a path prefix of the callers' listener."""
+    """A plain HTTP service, reachable under a path prefix of the callers' listener."""
 
     prefix: str
     pool: PoolName
@@ -96,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BundleBase:
-    """The part of a bundle that is not adapters."""
+    """The callers, pools and services of a bundle: everything except adapters."""
 
     callers: tuple[Caller, ...] = ()
     pools: tuple[PoolSettings, ...] = ()
@@ -105,16 +107,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Root:
-    """The part of a bundle that is signed.
+    """The signed top of a bundle's tree.
 
     Parameters
     ----------
     version : int
-        Rises with every bundle, from 1.
+        1 for the first bundle; increases with each bundle.
     base : Digest
-        The blob of the `Base`.
+        Address of the blob that encodes the `BundleBase`.
     index : tuple of Digest
-        `FANOUT` blobs, each the digests of `FANOUT` leaves.
+        Addresses of `FANOUT` index blobs; each lists the digests of `FANOUT` leaves.
     """
 
     version: int
@@ -126,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """Everything that a bundle offers, as an operator writes it."""
+    """The contents of a bundle as an operator writes them."""
 
     base: BundleBase = field(default_factory=BundleBase)
     adapters: tuple[Adapter, ...] = ()
@@ -134,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaf:
-    """The adapters of one leaf by their names."""
+    """The adapters of one leaf, by name."""
 
     digest: Digest
     adapters: Mapping[str, Adapter]
@@ -142,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bundle:
-    """A complete verified bundle, ready to decide requests by."""
+    """A complete verified bundle with the lookups that request handling needs."""
 
     version: int
     digest: Digest
@@ -152,30 +154,30 @@
     leaves: tuple[Leaf, ...]
 
     def find_adapter(self, name: str) -> Adapter | None:
-        """Return the adapter with a name, whichever versions of it are offered."""
+        """Return the adapter with this name, regardless of its offered versions."""
         return self.leaves[leaf_index(name)].adapters.get(name)
 
     def find_adapter_version(self, ref: AdapterRef) -> Adapter | None:
-        """Return the adapter if this version of it is offered."""
+        """Return the referenced adapter if the referenced version is offered."""
         found = self.find_adapter(ref.name)
         return found if found and ref.version in found.versions else None
 
     def iter_adapters(self) -> Iterator[Adapter]:
-        """Yield all adapters."""
+        """Yield the adapters of all leaves."""
         for leaf in self.leaves:
             yield from leaf.adapters.values()
 
     def find_caller_by_token(self, token: str) -> Caller | None:
-        """Return the caller that owns `token`."""
+        """Return the caller to whom `token` belongs, None if it is unknown."""
         return self.callers.get(sha256(token.encode()).hexdigest())
 
     def find_service(self, path: str) -> Service | None:
-        """Return the service with the longest prefix of `path`."""
+        """Return the service with the longest prefix that matches `path`."""
         fits = (s for s in self.services if is_under_prefix(path, s.prefix))
         return max(fits, key=lambda s: len(s.prefix), default=None)
 
     def adapters_for_caller(self, caller: CallerName) -> list[AdapterRef]:
-        """Return what one caller may name, sorted."""
+        """Return the adapter versions that a caller may request, sorted."""
         return sorted(
             AdapterRef(adapter.name, version)
             for adapter in self.iter_adapters()
@@ -186,34 +188,34 @@
 
 @dataclass(frozen=True, slots=True)
 class BuiltBundle:
-    """A root and the blobs it needs."""
+    """A root and all blobs that it references."""
 
     root: Root
     blobs: Mapping[Digest, bytes]
 
 
 def is_under_prefix(path: str, prefix: str) -> bool:
-    """Return whether `path` is `prefix` or lies under it."""
+    """Return whether `path` equals `prefix` or is below it."""
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
 
 
 def compute_digest(data: bytes) -> Digest:
-    """Return the content address of `data`."""
+    """Return the content address of `data`, its SHA-256 digest in hexadecimal."""
     return Digest(sha256(data).hexdigest())
 
 
 def leaf_index(name: str) -> int:
-    """Return the leaf that holds an adapter."""
+    """Return the index of the leaf that holds the adapter `name`."""
     return blake2b(name.encode(), digest_size=1).digest()[0]
 
 
 def compress_value(value: object) -> bytes:
-    """Return the canonical packed form of a part of a bundle."""
+    """Return the compressed canonical JSON encoding of a part of a bundle."""
     return zlib.compress(msgspec.json.encode(value, order="deterministic"), 9)
 
 
 def decompress_blob(blob: bytes, digest: Digest) -> Result[bytes, BundleError]:
-    """Check a blob against its address and return its unpacked bytes."""
+    """Check that a blob matches its address and return its decompressed bytes."""
     if compute_digest(blob) != digest:
         return Failure(BundleError("digest_mismatch", f"blob {digest}"))
     try:
@@ -227,7 +229,7 @@
 
 
 def build_bundle(contents: Contents, version: int, note: str = "") -> BuiltBundle:
-    """Spread `contents` over blobs and return them under a root."""
+    """Build the blobs and the unsigned root of a bundle from its contents."""
     leaves: list[list[Adapter]] = [[] for _ in range(LEAVES)]
     for adapter in sorted(contents.adapters, key=lambda a: a.name):
         leaves[leaf_index(adapter.name)].append(adapter)
@@ -245,37 +247,37 @@
     return BuiltBundle(root, blobs)
 
 
-def decode_json(data: bytes, kind: type[T], what: str) -> Result[T, BundleError]:
-    """Read JSON into `kind`, turning the decoder's errors."""
+def decode_json(data: bytes, kind: type[T], description: str) -> Result[T, BundleError]:
+    """Decode JSON into `kind`; decoder errors become a `BundleError`."""
     try:
         return Success(msgspec.json.decode(data, type=kind))
     except msgspec.DecodeError as error:
-        return Failure(BundleError("malformed", f"{what}: {error}"))
+        return Failure(BundleError("malformed", f"{description}: {error}"))
 
 
 def read_blob(
-    blobs: Mapping[Digest, bytes], digest: Digest, kind: type[T], what: str
+    blobs: Mapping[Digest, bytes], digest: Digest, kind: type[T], description: str
 ) -> Result[T, BundleError]:
-    """Look up, check and decode one blob."""
+    """Look up one blob, check its digest and decode it into `kind`."""
     blob = blobs.get(digest)
     if blob is None:
-        return Failure(BundleError(MISSING_BLOB, f"{what} {digest}"))
+        return Failure(BundleError(MISSING_BLOB, f"{description} {digest}"))
     return decompress_blob(blob, digest).bind(
-        lambda data: decode_json(data, kind, what)
+        lambda data: decode_json(data, kind, description)
     )
 
 
 def missing_blobs(
     root: Root, blobs: Mapping[Digest, bytes], known_leaves: Iterable[Digest] = ()
 ) -> set[Digest]:
-    """Return the next blobs to fetch: first the index, then the leaves it names."""
-    first = {root.base, *root.index} - blobs.keys()
-    if first:
-        return first
-    wanted: set[Digest] = set()
+    """Return the next blobs to fetch: base and index first, then the listed leaves."""
+    missing_top_blobs = {root.base, *root.index} - blobs.keys()
+    if missing_top_blobs:
+        return missing_top_blobs
+    leaf_digests: set[Digest] = set()
     for node in root.index:
-        wanted.update(read_blob(blobs, node, list[Digest], "index").value_or([]))
-    return wanted - blobs.keys() - set(known_leaves)
+        leaf_digests.update(read_blob(blobs, node, list[Digest], "index").value_or([]))
+    return leaf_digests - blobs.keys() - set(known_leaves)
 
 
 def assemble_bundle(
@@ -284,32 +286,34 @@
     blobs: Mapping[Digest, bytes],
     previous: Bundle | None = None,
 ) -> Result[Bundle, BundleError]:
-    """Read all blobs of a root into a `Bundle`, reusing leaves that did not change."""
+    """Build a `Bundle` from a root's blobs, reusing unchanged leaves of `previous`."""
     base = read_blob(blobs, root.base, BundleBase, "base")
     if not isinstance(base, Success):
         return Failure(base.failure())
-    known = {leaf.digest: leaf for leaf in previous.leaves} if previous else {}
-    shared: dict[object, object] = {}
+    reusable_leaves = (
+        {leaf.digest: leaf for leaf in previous.leaves} if previous else {}
+    )
+    interned: dict[object, object] = {}
     leaves: list[Leaf] = []
     for node in root.index:
         digests = read_blob(blobs, node, list[Digest], "index")
         if not isinstance(digests, Success):
             return Failure(digests.failure())
         for digest in digests.unwrap():
-            leaf = read_leaf(blobs, digest, known, shared)
+            leaf = read_leaf(blobs, digest, reusable_leaves, interned)
             if not isinstance(leaf, Success):
                 return Failure(leaf.failure())
             leaves.append(leaf.unwrap())
     if len(leaves) != LEAVES:
         return Failure(BundleError("malformed", f"{len(leaves)} leaves, not {LEAVES}"))
-    content = base.unwrap()
+    decoded_base = base.unwrap()
     return Success(
         Bundle(
             version=root.version,
             digest=root_digest,
-            callers={c.token_sha256: c for c in content.callers},
-            pools={p.name: p for p in content.pools},
-            services=content.services,
+            callers={c.token_sha256: c for c in decoded_base.callers},
+            pools={p.name: p for p in decoded_base.pools},
+            services=decoded_base.services,
             leaves=tuple(leaves),
         )
     )
@@ -318,29 +322,32 @@
 def read_leaf(
     blobs: Mapping[Digest, bytes],
     digest: Digest,
-    known: Mapping[Digest, Leaf],
-    shared: dict[object, object],
+    reusable_leaves: Mapping[Digest, Leaf],
+    interned: dict[object, object],
 ) -> Result[Leaf, BundleError]:
-    """Return the adapters of one leaf, decoded at most once over bundles."""
-    if digest in known:
-        return Success(known[digest])
+    """Return a leaf by its digest; decode it only if it is not in `reusable_leaves`."""
+    if digest in reusable_leaves:
+        return Success(reusable_leaves[digest])
     return read_blob(blobs, digest, list[Adapter], "leaf").map(
         lambda adapters: Leaf(
-            digest, {a.name: intern_adapter_fields(a, shared) for a in adapters}
+            digest, {a.name: intern_adapter_fields(a, interned) for a in adapters}
         )
     )
 
 
-def intern_adapter_fields(adapter: Adapter, shared: dict[object, object]) -> Adapter:
-    """Return an adapter whose parts that many adapters repeat are kept once."""
+def intern_adapter_fields(adapter: Adapter, interned: dict[object, object]) -> Adapter:
+    """Return an equal adapter whose field values are shared with equal adapters.
+
+    Many adapters repeat the same values; sharing them saves memory.
+    """
 
-    def once(value: T) -> T:
-        return cast(T, shared.setdefault(value, value))
+    def intern(value: T) -> T:
+        return cast(T, interned.setdefault(value, value))
 
     return Adapter(
         adapter.name,
-        once(adapter.base_model),
-        once(adapter.pool),
-        once(adapter.versions),
-        once(adapter.callers),
+        intern(adapter.base_model),
+        intern(adapter.pool),
+        intern(adapter.versions),
+        intern(adapter.callers),
     )
--- a/packages/core/src/sardinequay_core/bundle_diff.py
+++ b/packages/core/src/sardinequay_core/bundle_diff.py
@@ -1,4 +1,4 @@
-"""What changes from one bundle to the next, for those who approve it."""
+"""Differences between two bundles, shown to approvers before they sign."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, fields
@@ -9,7 +9,7 @@
 
 
 class ChangeKind(Enum):
-    """What becomes of an entry."""
+    """How an entry differs between two bundles."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Difference:
-    """One entry that differs; `details` names the fields with old and new values."""
+    """One differing entry; `details` lists changed fields with old and new values."""
 
     where: str
     change: str
@@ -31,8 +31,8 @@
 
 
 def diff_contents(old: Contents, new: Contents) -> list[Difference]:
-    """Return all differences, in a fixed order."""
-    found = [
+    """Return the differences between two bundles' contents, sorted."""
+    differences = [
         *diff_entries(
             "callers",
             index_by_field(old.base.callers, "name"),
@@ -54,18 +54,18 @@
             index_by_field(new.adapters, "name"),
         ),
     ]
-    return sorted(found)
+    return sorted(differences)
 
 
 def index_by_field(entries: Iterable[Any], name: str) -> dict[str, Any]:
-    """Return entries by one of their fields."""
+    """Return a mapping from the value of the field `name` to its entry."""
     return {getattr(entry, name): entry for entry in entries}
 
 
 def diff_entries(
     kind: str, old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> Iterator[Difference]:
-    """Yield the differences between two sets of entries of a kind."""
+    """Yield the added, removed and changed entries of one kind."""
     for name in old.keys() - new.keys():
         yield Difference(f"{kind}.{name}", ChangeKind.REMOVED.value)
     for name in new.keys() - old.keys():
@@ -77,7 +77,7 @@
 
 
 def field_changes(old: Any, new: Any) -> Iterator[str]:
-    """Yield the fields of an entry that differ."""
+    """Yield a ``name old -> new`` description of each field that differs."""
     for spec in fields(old):
         before, after = getattr(old, spec.name), getattr(new, spec.name)
         if before != after:
--- a/packages/core/src/sardinequay_core/bundle_lint.py
+++ b/packages/core/src/sardinequay_core/bundle_lint.py
@@ -1,4 +1,4 @@
-"""Checking what an operator wrote before it is approved."""
+"""Validation of operator-written bundle contents before approval."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One fault: where it is, what the value is, and what is allowed."""
+    """One invalid value: its location, the value and the allowed values."""
 
     where: str
     value: str
@@ -31,7 +31,7 @@
 
 
 def lint_contents(contents: Contents) -> list[Finding]:
-    """Return all faults of a bundle's contents, in a fixed order."""
+    """Return all findings for a bundle's contents, sorted."""
     base = contents.base
     findings = [
         *duplicate_findings("callers", (c.name for c in base.callers)),
@@ -55,14 +55,14 @@
 
 
 def duplicate_findings(where: str, names: Iterable[str]) -> Iterator[Finding]:
-    """Yield names that stand more than once."""
+    """Yield a finding for each name that occurs more than once."""
     for name, count in Counter(names).items():
         if count > 1:
             yield Finding(f"{where}.{name}", f"given {count} times", "once")
 
 
 def caller_findings(contents: Contents) -> Iterator[Finding]:
-    """Yield faults of callers."""
+    """Yield findings for token digests and priorities of callers."""
     for caller in contents.base.callers:
         where = f"callers.{caller.name}"
         digits = caller.token_sha256
@@ -75,7 +75,7 @@
 
 
 def pool_findings(pool: PoolSettings) -> Iterator[Finding]:
-    """Yield faults of one pool."""
+    """Yield findings for the numeric settings of one pool."""
     where = f"pools.{pool.name}"
     numbers = (
         ("loads_per_s", pool.loads_per_s, 0, 10_000),
@@ -92,7 +92,7 @@
 
 
 def service_findings(service: Service, contents: Contents) -> Iterator[Finding]:
-    """Yield faults of one plain service."""
+    """Yield findings for the prefix, pool and callers of one plain service."""
     where = f"services.{service.prefix}"
     if not service.prefix.startswith("/") or service.prefix == "/":
         yield Finding(f"{where}.prefix", repr(service.prefix), "a path below /")
@@ -100,14 +100,14 @@
         yield Finding(f"{where}.prefix", repr(service.prefix), "a path outside /v1")
     if service.pool not in {p.name for p in contents.base.pools}:
         yield Finding(f"{where}.pool", repr(service.pool), "a pool of this bundle")
-    known = {c.name for c in contents.base.callers}
-    yield from unknown_caller_findings(where, service.callers, known)
+    known_callers = {c.name for c in contents.base.callers}
+    yield from unknown_caller_findings(where, service.callers, known_callers)
 
 
 def adapter_findings(
     adapter: Adapter, pools: Mapping[PoolName, PoolSettings], callers: Collection[str]
 ) -> Iterator[Finding]:
-    """Yield faults of one adapter."""
+    """Yield findings for the pool, base model, versions and callers of one adapter."""
     where = f"adapters.{adapter.name}"
     pool = pools.get(adapter.pool)
     if pool is None:
@@ -126,16 +126,16 @@
 
 
 def unknown_caller_findings(
-    where: str, named: Iterable[str], known: Collection[str]
+    where: str, caller_names: Iterable[str], known_callers: Collection[str]
 ) -> Iterator[Finding]:
-    """Yield callers that the bundle does not define."""
-    for caller in named:
-        if caller not in known:
+    """Yield a finding for each caller that the bundle does not define."""
+    for caller in caller_names:
+        if caller not in known_callers:
             yield Finding(f"{where}.callers", repr(caller), "a caller of this bundle")
 
 
 def lint_sizes(built: BuiltBundle, root_bytes: int) -> list[Finding]:
-    """Return parts that exceed the configuration service's limit for a value."""
+    """Return a finding for each value above the configuration service's size limit."""
     sizes = {f"blob {d}": len(blob) for d, blob in built.blobs.items()}
     sizes["root"] = root_bytes
     return [
--- a/packages/core/src/sardinequay_core/catalogue.py
+++ b/packages/core/src/sardinequay_core/catalogue.py
@@ -1,7 +1,8 @@
-"""What the metadata store publishes, as one immutable state with its revision.
+"""Immutable snapshot of the contents of the metadata store, with its revision.
 
-The store's tasks fold changes into it; everyone else reads it. A version of what is
-served never goes back, whichever reader or peer brings it.
+The store's reader tasks apply changes to the snapshot; all other tasks only read it.
+Versions of configurations and adapters never decrease, whether a change comes from this
+host's own reader or from a peer.
 """
 
 from collections.abc import Mapping
@@ -20,17 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedTarget:
-    """A target as the store lists it.
+    """A target's entry in the store.
 
     Parameters
     ----------
     adapters : frozenset of AdapterRef
-        Adapters that it reported to hold; changes of adapters alone are not reported.
+        Adapters that the target reported as loaded. The target does not update its
+        entry when only its adapters change.
     models : frozenset of str
-        Base models that it holds.
+        Base models that are loaded.
     incarnation : int
-        When its process started, in Unix milliseconds as the target says; 0 if it does
-        not say. A target may start again under its id, and holds nothing then.
+        Start time of the target's process, in Unix milliseconds, as the target reports
+        it; 0 if it reports none. A target can restart under the same id and has then
+        lost its models and adapters.
     """
 
     target: Target
@@ -43,28 +46,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigPublished:
-    """A configuration was published."""
+    """Change: a configuration was published."""
 
     config: ServingConfig
 
 
 @dataclass(frozen=True, slots=True)
 class TargetPublished:
-    """A target registered itself or changed its entry."""
+    """Change: a target registered itself or updated its entry."""
 
     published: PublishedTarget
 
 
 @dataclass(frozen=True, slots=True)
 class TargetRemoved:
-    """A target's entry is gone."""
+    """Change: a target's entry was removed."""
 
     target_id: TargetId
 
 
 @dataclass(frozen=True, slots=True)
 class TargetUnreadable:
-    """A target's entry cannot be understood, so it names no target to use."""
+    """Change: a target's entry cannot be decoded; the target is not used."""
 
     target_id: TargetId
     detail: str
@@ -72,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionPublished:
-    """A newer version of an adapter exists; `name` is ``model/adapter``."""
+    """Change: an adapter has a newer version; `name` is ``model/adapter``."""
 
     name: str
     version: str
@@ -89,19 +92,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """Everything that is known from the store.
+    """The state of the store up to a revision.
 
     Parameters
     ----------
     revision : int
-        The store's revision up to which changes are folded in.
+        The store's revision up to which changes have been applied.
     targets : mapping
-        Every listed target, leaving ones included.
+        All listed targets, including leaving ones.
     unconfirmed : mapping
-        Targets whose entries vanished while the store was in trouble, and until when
-        they are still used: the entry of a target that lives comes back.
-    newest : mapping
-        Newest version of each adapter that ever got one, by ``model/adapter``.
+        Targets whose entries disappeared while the store was failing, and the time
+        until which they are still used: a live target registers again.
+    newest_versions : mapping
+        Newest published version of each adapter, by ``model/adapter``.
     """
 
     revision: int = 0
@@ -111,7 +114,7 @@
     newest_versions: Mapping[str, str] = field(default_factory=dict)
 
     def live_targets(self, pool: PoolName) -> tuple[PublishedTarget, ...]:
-        """Return the targets of a pool that take new work."""
+        """Return the targets of a pool that accept new requests."""
         return tuple(
             t
             for t in self.targets.values()
@@ -119,37 +122,40 @@
         )
 
     def is_live(self, target_id: TargetId) -> bool:
-        """Return whether a target is listed and not about to leave."""
+        """Return whether a target is listed and not leaving."""
         listed = self.targets.get(target_id)
         return listed is not None and listed.target.presence is Presence.LIVE
 
 
-def is_equal_except_revisions(one: Catalogue, other: Catalogue) -> bool:
-    """Return whether two catalogues differ in nothing but revisions.
+def is_equal_except_revisions(first: Catalogue, second: Catalogue) -> bool:
+    """Return whether two catalogues are equal apart from revisions.
 
-    Targets renew their entries all the time, most often with the same content.
+    Targets renew their entries periodically, usually with unchanged contents.
     """
     return (
-        one.config == other.config
-        and one.unconfirmed == other.unconfirmed
-        and one.newest_versions == other.newest_versions
-        and one.targets.keys() == other.targets.keys()
+        first.config == second.config
+        and first.unconfirmed == second.unconfirmed
+        and first.newest_versions == second.newest_versions
+        and first.targets.keys() == second.targets.keys()
         and all(
-            was is is_now or replace(was, revision=is_now.revision) == is_now
-            for was, is_now in ((one.targets[t], other.targets[t]) for t in one.targets)
+            first_entry is second_entry
+            or replace(first_entry, revision=second_entry.revision) == second_entry
+            for first_entry, second_entry in (
+                (first.targets[t], second.targets[t]) for t in first.targets
+            )
         )
     )
 
 
 @dataclass(frozen=True, slots=True)
 class RemovalPolicy:
-    """How an entry's removal is taken.
+    """How the removal of a target's entry is applied.
 
     Parameters
     ----------
     keep_until : timedelta or None
-        The instant until which a removed target is still used, if the store was in
-        trouble lately; None to drop it at once.
+        Time until which a removed target is still used, because the store failed
+        recently; None to remove the target immediately.
     """
 
     keep_until: Instant | None = None
@@ -159,7 +165,7 @@
 def apply_change(
     change: Change, catalogue: Catalogue, absence: RemovalPolicy
 ) -> Catalogue:
-    """Return the catalogue with one change folded in."""
+    """Return the catalogue with one change applied."""
     raise TypeError(f"no change of the catalogue: {change!r}")
 
 
@@ -183,7 +189,7 @@
     if known is not None and known.revision > published.revision:
         return catalogue
     if known is not None and known.incarnation > published.incarnation:
-        # A late entry of an earlier start: what it says of holdings is void.
+        # A delayed entry of an earlier incarnation; its models and adapters are lost.
         return catalogue
     return replace(
         catalogue,
@@ -202,8 +208,8 @@
     if absence.keep_until is not None and is_live:
         if target_id in catalogue.unconfirmed:
             return catalogue
-        kept = {**catalogue.unconfirmed, target_id: absence.keep_until}
-        return replace(catalogue, unconfirmed=kept)
+        still_used = {**catalogue.unconfirmed, target_id: absence.keep_until}
+        return replace(catalogue, unconfirmed=still_used)
     return replace(
         catalogue,
         targets=without_key(catalogue.targets, target_id),
@@ -234,16 +240,16 @@
 
 
 def without_key(mapping: Mapping[K, V], key: K) -> Mapping[K, V]:
-    """Return a mapping without one key."""
+    """Return `mapping` without `key`."""
     if key not in mapping:
         return mapping
     return {k: v for k, v in mapping.items() if k != key}
 
 
 def expire_unconfirmed(catalogue: Catalogue, now: Instant) -> Catalogue:
-    """Drop targets whose entries did not come back in time."""
-    gone = [t for t, until in catalogue.unconfirmed.items() if now >= until]
-    for target_id in gone:
+    """Remove unconfirmed targets whose entries did not reappear in time."""
+    expired = [t for t, until in catalogue.unconfirmed.items() if now >= until]
+    for target_id in expired:
         catalogue = apply_change(TargetRemoved(target_id), catalogue, RemovalPolicy())
     return catalogue
 
@@ -254,7 +260,7 @@
     revision: int,
     absence: RemovalPolicy,
 ) -> Catalogue:
-    """Return the catalogue after a complete listing; what it lacks was removed."""
+    """Apply a complete listing; targets missing from it are treated as removed."""
     listed = {
         c.published.target.target_id for c in changes if isinstance(c, TargetPublished)
     }
--- a/packages/core/src/sardinequay_core/clock.py
+++ b/packages/core/src/sardinequay_core/clock.py
@@ -1,10 +1,10 @@
-"""The interface through which the time is read."""
+"""Interface for reading the wall clock and the monotonic clock."""
 
 from datetime import datetime, timedelta
 from typing import Protocol
 
 Instant = timedelta
-"""A reading of a monotonic clock: the time since an origin of the process's own."""
+"""A reading of a monotonic clock: the time since an origin local to the process."""
 
 ZERO = timedelta(0)
 
@@ -16,7 +16,7 @@
         """Return the wall-clock time in UTC."""
 
     def monotonic(self) -> Instant:
-        """Return the monotonic clock's reading; it counts time spent stopped."""
+        """Return the monotonic time, including time while suspended."""
 
 
 def seconds(value: float) -> timedelta:
--- a/packages/core/src/sardinequay_core/errors.py
+++ b/packages/core/src/sardinequay_core/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the core: values returned where failure is an ordinary outcome.
+"""Error types of the core, returned as values where failure is an expected outcome.
 
-Errors are no frozen data classes: the interpreter sets the traceback of an error on its
-way out. Nothing else may change them.
+The classes are not frozen because the interpreter sets `__traceback__` on an exception
+that propagates. Other code must treat them as immutable.
 """
 
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(unsafe_hash=True)
 class InvalidNameError(CoreError):
-    """A name or address that does not have the form it needs."""
+    """A name or address that is malformed."""
 
     field: str
     value: str
@@ -26,7 +26,7 @@
 
 @dataclass(unsafe_hash=True)
 class BundleError(CoreError):
-    """A bundle or a part of it that is refused, with the reason."""
+    """A bundle, or a part of one, was rejected."""
 
     reason: str
     detail: str
--- a/packages/core/src/sardinequay_core/names.py
+++ b/packages/core/src/sardinequay_core/names.py
@@ -1,4 +1,4 @@
-"""Identifiers that every package shares."""
+"""Identifier types shared by all packages, and their parsers."""
 
 from dataclasses import dataclass
 from typing import NewType
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Address:
-    """An IP number and a port, written ``ip:port``."""
+    """An IP address and a port, written ``ip:port``."""
 
     ip: str
     port: int
@@ -43,9 +43,9 @@
         return f"{self.name}{SEPARATOR}{self.version}"
 
     def is_at_least(self, other: "AdapterRef") -> bool:
-        """Return whether this is the other adapter in its version or a later one.
+        """Return whether this is the adapter of `other` at an equal or later version.
 
-        Versions that are numbers are compared as such; others only for being equal.
+        Numeric versions are compared as numbers; other versions only for equality.
         """
         if self.name != other.name:
             return False
@@ -55,12 +55,13 @@
 
 
 def parse_adapter_ref(text: str) -> Result[AdapterRef, InvalidNameError]:
-    """Read an adapter reference.
+    """Parse an adapter reference.
 
     Parameters
     ----------
     text : str
-        ``name@version``; both parts are non-empty, `MAX_NAME_CHARS` at most over all.
+        ``name@version`` with both parts non-empty and a total length of at most
+        `MAX_NAME_CHARS`.
     """
     name, separator, version = text.rpartition(SEPARATOR)
     if not (name and separator and version) or len(text) > MAX_NAME_CHARS:
@@ -69,7 +70,7 @@
 
 
 def parse_address(text: str) -> Result[Address, InvalidNameError]:
-    """Read an ``ip:port`` pair; host names are not accepted."""
+    """Parse an ``ip:port`` pair; host names are rejected."""
     ip, separator, port = text.rpartition(":")
     plain = ip.strip("[]")
     is_ip = bool(plain) and all(c in "0123456789abcdefABCDEF.:" for c in plain)
--- a/packages/core/src/sardinequay_core/rendezvous.py
+++ b/packages/core/src/sardinequay_core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every host ranks the same members alike without talking.
+"""Rendezvous hashing: hosts compute the same ranking of members independently.
 
 References
 ----------
@@ -15,13 +15,13 @@
 
 
 def rendezvous_score(key: str, member: str) -> int:
-    """Return the rank score of `member` for `key`; the highest owns the key."""
+    """Return the score of `member` for `key`; the highest score owns the key."""
     data = f"{key}\x00{member}".encode()
     return int.from_bytes(blake2b(data, digest_size=SCORE_BYTES).digest(), "big")
 
 
 def rank_members(key: str, members: Iterable[str]) -> list[str]:
-    """Return `members` from the best to the worst for `key`."""
+    """Return `members` in descending order of their score for `key`."""
     return sorted(
         members,
         key=lambda member: (rendezvous_score(key, member), member),
@@ -30,9 +30,10 @@
 
 
 def rank_members_weighted(key: str, weights: Mapping[str, float]) -> list[str]:
-    """Return members from the best to the worst, each first in proportion to weight.
+    """Return members ranked for `key` by weighted rendezvous hashing.
 
-    Members whose weight is not positive are left out.
+    Each member ranks first for a share of the keys in proportion to its weight.
+    Members without a positive weight are omitted.
     """
 
     def weighted(member: str) -> tuple[float, str]:
--- a/packages/core/src/sardinequay_core/rollout.py
+++ b/packages/core/src/sardinequay_core/rollout.py
@@ -1,4 +1,4 @@
-"""Which bundle is in force: the newest that verifies, whoever brings it, never back."""
+"""Selection of the bundle in force: the newest verified one, never an older one."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OfferedBundle:
-    """What somebody says is in force: a version and the digest of its root."""
+    """The version and root digest of a bundle that a peer or the service offers."""
 
     version: int
     digest: str
 
 
 class Confirmation(Enum):
-    """Who confirmed what a new host has in force."""
+    """How a starting host confirmed that its bundle is current."""
 
     PENDING = ""
     PEERS = "peers"
@@ -35,13 +35,14 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """One host's bundle: judged here, fetched and assembled by the daemon.
+    """One host's bundle state; the daemon fetches and assembles the bundles.
 
     Parameters
     ----------
-    heard : Heard
-        A new host hears its peers before it serves, so that a stale service cannot
-        make it serve an old bundle. One that hears nobody goes on after a bound.
+    confirmation : Confirmation
+        A starting host asks its peers for their bundle before it serves, so that a
+        stale configuration service cannot make it serve an old one. Without any answer
+        it starts to serve after a timeout.
     """
 
     trust: ApprovalPolicy
@@ -50,17 +51,17 @@
     refused: set[tuple[str, Digest]] = field(default_factory=set)
 
     def version(self) -> int:
-        """Return the version in force; 0 before the first."""
+        """Return the version in force; 0 before the first bundle."""
         return self.in_force.root.version if self.in_force else 0
 
     def check_root(self, data: bytes) -> Result[SignedRoot | None, BundleError]:
-        """Judge a signed root.
+        """Verify a signed root and compare it with the root in force.
 
         Returns
         -------
         Result
-            The root if it is to be put in force, None if it is in force already, or
-            why it is refused.
+            The root if it should be put in force, None if it is in force already, or
+            the error for which it is rejected.
         """
         verified = verify_signed_root(data, self.trust)
         if not isinstance(verified, Success):
@@ -76,29 +77,29 @@
         return Failure(BundleError(verdict.value, detail))
 
     def put_in_force(self, signed: SignedRoot) -> None:
-        """Take a root whose bundle is whole, unless a newer one came meanwhile."""
+        """Put a complete bundle's root in force, unless a newer one is in force."""
         if signed.root.version > self.version():
             self.in_force = signed
 
     def record_refusal(self, error: BundleError, digest: Digest) -> bool:
-        """Remember a refusal; return whether it is new."""
-        mark = (error.reason, digest)
-        is_new = mark not in self.refused
-        self.refused.add(mark)
+        """Record the rejection of a root; return whether it was not yet recorded."""
+        refusal = (error.reason, digest)
+        is_new = refusal not in self.refused
+        self.refused.add(refusal)
         return is_new
 
     def should_fetch(self, offered: OfferedBundle) -> bool:
-        """Return whether an offer is newer, or another bundle of the same version."""
+        """Return whether an offer is newer, or conflicts and was not yet rejected."""
         if offered.version != self.version():
             return offered.version > self.version()
         if self.in_force is None:
             return False
-        is_other = offered.digest != root_digest(self.in_force.root)
-        known = (RootComparison.CONFLICT.value, Digest(offered.digest))
-        return is_other and known not in self.refused
+        is_different = offered.digest != root_digest(self.in_force.root)
+        recorded_conflict = (RootComparison.CONFLICT.value, Digest(offered.digest))
+        return is_different and recorded_conflict not in self.refused
 
     def can_serve(self) -> bool:
-        """Return whether requests may be decided by the bundle in force."""
+        """Return whether the bundle in force may be used to serve requests."""
         return (
             self.in_force is not None and self.confirmation is not Confirmation.PENDING
         )
--- a/packages/core/src/sardinequay_core/roster.py
+++ b/packages/core/src/sardinequay_core/roster.py
@@ -1,4 +1,4 @@
-"""The platform's list of hosts and targets, as one numbered state of it."""
+"""The roster: the platform's numbered list of entry hosts and targets."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,14 +7,14 @@
 
 
 class Presence(Enum):
-    """What the platform says of a host or a target."""
+    """The platform's status of a host or target."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class TargetKind(Enum):
-    """What a target is: a model engine or a plain service."""
+    """The kind of a target: a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryHost:
-    """One entry host: where its peers and its callers reach it."""
+    """One entry host with its addresses for peers and for callers."""
 
     host_id: HostId
     data_centre: DataCentre
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One back end.
+    """One target: an engine or a plain service that requests are sent to.
 
     Parameters
     ----------
     checks_fencing : bool
-        Whether it refuses an order that carries an old fencing token.
+        Whether the target rejects orders with an outdated fencing token.
     """
 
     target_id: TargetId
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Roster:
-    """One published state of the list; a higher number is a later state."""
+    """One published state of the list; a higher number is a later one."""
 
     number: int
     entry_hosts: tuple[EntryHost, ...] = ()
     targets: tuple[Target, ...] = ()
 
     def is_live(self, target_id: TargetId) -> bool:
-        """Return whether a target is listed and not about to leave."""
+        """Return whether a target is listed and not leaving."""
         return any(
             t.target_id == target_id and t.presence is Presence.LIVE
             for t in self.targets
@@ -70,7 +70,7 @@
         return tuple(h for h in self.entry_hosts if h.data_centre == data_centre)
 
     def targets_in_pool(self, pool: PoolName) -> tuple[Target, ...]:
-        """Return the targets of one pool, the leaving ones too."""
+        """Return the targets of one pool, including leaving ones."""
         return tuple(t for t in self.targets if t.pool == pool)
 
 
