--- a/packages/core/src/sardinequay_core/claims.py
+++ b/packages/core/src/sardinequay_core/claims.py
@@ -1,12 +1,13 @@
-"""The guard's side of claims: a non-idempotent request's key is granted at most once.
+"""Guard side of claims, which grant each key of a non-idempotent request at most once.
 
-Before a host dispatches such a request it claims the key at a majority of the guards of
-the key's home data centre. Two majorities of one view overlap, so one attempt at most
-wins. What ties the views together, and lets guards forget everything they knew, is in
-`joining`; docs/design/at-most-once.md gives the argument.
+Before a host dispatches such a request, it claims the request's key at a majority of
+the guards of the key's home data centre. Any two majorities of one view overlap, so at
+most one attempt wins. `view_join` implements the change
+from one view to the next and the recovery of guards that lost all their state;
+docs/design/at-most-once.md gives the argument for its safety.
 
-A claim is soft state: it lives for `ClaimPolicy.life` in memory, and nobody needs to
-look after it.
+Claims are soft state: they are held in memory and expire after `ClaimPolicy.retention`
+without any cleanup by the claimant.
 """
 
 from dataclasses import dataclass
@@ -20,26 +21,27 @@
 
 MAX_KEY_CHARS = 200
 HANDOVER_PAGE_KEYS = 4000
-"""Keys in one page of a handover: some 400 kB on the wire."""
+"""Number of keys in one page of a handover; a page is about 400 kB on the wire."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimPolicy:
-    """The durations that claims rest on.
+    """The durations on which the safety of claims depends.
 
     Parameters
     ----------
-    life : timedelta
-        How long a claim is remembered; a caller must not retry a key after that.
-    window : timedelta
-        How old a vote or a handover may be when it is counted. The argument for
-        restarted guards rests on it: clocks must run alike over this time.
-    lapse : timedelta
-        How long a guard votes on without having read, from the platform, a list that
-        makes it a guard. Longer outages of the platform stop non-idempotent requests;
-        a shorter lapse brings them back sooner when most guards are gone for good.
-    list_lag : timedelta
-        How far the platform's list may be behind.
+    retention : timedelta
+        How long guards remember a claim; a caller must not retry a key after that.
+    vote_window : timedelta
+        Maximum age of a vote or a handover when it is counted. Recovery of restarted
+        guards depends on it: clocks of hosts must run at the same rate over this time.
+    listing_timeout : timedelta
+        How long a guard continues to vote after it last read a platform list that
+        names it as a guard. Longer outages of the platform stop non-idempotent
+        requests; a shorter timeout restores them sooner when most guards are lost
+        permanently.
+    max_list_lag : timedelta
+        Maximum delay of the platform's list.
     """
 
     retention: timedelta = timedelta(minutes=10)
@@ -59,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """Message: an attempt claims a key in a view."""
+    """Message: claim a key for an attempt in a view."""
 
     view: View
     key: str
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimVote:
-    """Message: a guard's vote, and a later view if it knows one."""
+    """Message: a guard's vote, with a later view if the guard knows one."""
 
     vote: ClaimDecision
     later_view: View | None = None
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """Message: what became of a claimed request. NOT_RUN releases its key."""
+    """Message: the outcome of a claimed request. NOT_RUN releases its key."""
 
     data_centre: DataCentre
     key: str
@@ -87,12 +89,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """Message: a settlement was taken."""
+    """Message: the outcome was recorded."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """One claim as it is handed over; its age spares the clocks from agreeing."""
+    """One claim in a handover; it carries an age because clocks of hosts differ."""
 
     key: str
     attempt: AttemptId
@@ -102,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequest:
-    """Message: seal `view` in favour of `successor`, and tell its claims."""
+    """Message: stop voting in `view` in favour of `successor`, and send its claims."""
 
     view: View
     successor: View
@@ -113,22 +115,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """Message: what a guard remembers.
+    """Message: the claims and views that a guard remembers.
 
     Parameters
     ----------
     remembers : bool
-        False from a guard that restarted and may have forgotten votes.
+        False from a guard that restarted and may have lost votes.
     incarnation : int
-        The guard's own.
+        The incarnation of the answering guard.
     base : View or None
-        The last view in which it voted or whose claims it gathered.
+        The last view in which the guard voted or whose claims it gathered.
     later_views : tuple of View
-        Views above the sealed one that it heard of.
+        Known views with a higher number than the sealed one.
     asked_before : tuple of View
-        Views that earlier incarnations of the asker were joining.
+        Views that earlier incarnations of the requesting host were joining.
     records : tuple of ClaimRecord
-        Claims in the order of their keys; more follow after the last if `more`.
+        Claims sorted by key; if `more`, further claims follow after the last key.
     """
 
     remembers: bool
@@ -142,21 +144,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewQuery:
-    """Message: ask a host for the last view in which it guards a data centre."""
+    """Message: request the last view in which a host is a guard of a data centre."""
 
     data_centre: DataCentre
 
 
 @dataclass(frozen=True, slots=True)
 class ViewReply:
-    """Message: the last view in which a host guards, if any."""
+    """Message: the last view in which a host is a guard, if any."""
 
     view: View | None
 
 
 @dataclass(slots=True)
 class Claim:
-    """One attempt's claim of a key, as a guard remembers it."""
+    """One attempt's claim of a key in a guard's memory."""
 
     granted_at: Instant
     settled: Outcome | None = None
@@ -164,24 +166,24 @@
 
 @dataclass(slots=True)
 class JoinRequest:
-    """What one incarnation of a host asked this guard to hand over for."""
+    """A view that one incarnation of a host requested a handover for."""
 
     incarnation: int
     view: View
 
 
 class Guard:
-    """One host's memory of claims for one data centre's keys.
+    """One host's record of the claims of one data centre's keys.
 
     Parameters
     ----------
-    me : HostId
-        This host.
+    own_host_id : HostId
+        The id of this host.
     incarnation : int
-        Differs after each restart.
-    founding : View or None
-        The founding view if this process started before the service did, so that it
-        cannot have forgotten anything; None for a guard that restarted.
+        Incarnation of this process; differs after each restart.
+    founding_view : View or None
+        The founding view if this process started before the service was first used, so
+        that it cannot have lost votes; None for a guard that restarted.
     started_at : timedelta
         When the process started.
     """
@@ -212,7 +214,7 @@
         self.claims_by_key: dict[str, dict[AttemptId, Claim]] = {}
 
     def newest_known_view(self) -> View | None:
-        """Return the latest view heard of."""
+        """Return the active or known later view with the highest number."""
         views = [
             *self.known_later_views.values(),
             *([self.active_view] if self.active_view else []),
@@ -220,12 +222,12 @@
         return max(views, key=lambda view: view.number, default=None)
 
     def record_view(self, view: View) -> None:
-        """Remember a view, unless it is behind the active one."""
+        """Record a view if it is later than the active one."""
         if self.active_view is None or view.number > self.active_view.number:
             self.known_later_views[view.number] = view
 
     def record_listed_view(self, view: View, now: Instant) -> None:
-        """Take the view that the platform's list, read just now, defines."""
+        """Record the view defined by the platform's list, which was read at `now`."""
         self.record_view(view)
         self.enter_if_same_guards(view)
         if self.listed_guards != view.guards:
@@ -234,11 +236,11 @@
             self.listing_confirmed_at = now
 
     def listed_since(self, guards: tuple[GuardAddress, ...]) -> Instant | None:
-        """Return since when the list, as read here, names just these guards."""
+        """Return since when the lists read here have named exactly these guards."""
         return self.listed_guards_since if self.listed_guards == guards else None
 
     def handle_claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
-        """Vote on a claim."""
+        """Vote on a claim; refuse if its view is old, sealed or not active."""
         self.record_view(request.view)
         self.enter_if_same_guards(request.view)
         active = self.active_view
@@ -254,16 +256,16 @@
         return self.vote_on_claim(request, now)
 
     def is_sealed(self) -> bool:
-        """Return whether the active view was handed over to a later one."""
+        """Return whether the active view is sealed: handed over to a later one."""
         return (
             self.active_view is not None
             and self.lowest_allowed_view > self.active_view.number
         )
 
     def enter_if_same_guards(self, view: View) -> None:
-        """Enter a later view of the same guards at once: majorities still overlap.
+        """Enter a later view at once if its guards are the same: majorities overlap.
 
-        Not when sealed: then another view lies between, with claims of its own.
+        A sealed guard does not, because the claims of a view in between may be missing.
         """
         active = self.active_view
         if active is None or self.is_sealed() or view.number <= active.number:
@@ -272,7 +274,7 @@
             self.enter_view(view)
 
     def enter_view(self, view: View) -> None:
-        """Vote in a view from now on; that it is listed is known from reading it."""
+        """Make a view the active one; a read of the list confirms it separately."""
         self.has_full_memory = True
         self.active_view = self.base_view = view
         self.lowest_allowed_view = max(self.lowest_allowed_view, view.number)
@@ -281,7 +283,7 @@
         }
 
     def vote_on_claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
-        """Grant a key that no other attempt holds."""
+        """Grant the key unless another attempt holds it."""
         attempts = self.claims_by_key.setdefault(request.key, {})
         self.prune_attempts(attempts, now)
         others = [c for a, c in attempts.items() if a != request.attempt]
@@ -292,7 +294,7 @@
         return ClaimVote(ClaimDecision.GRANTED)
 
     def handle_settle(self, message: Settle) -> None:
-        """Take what became of a claimed request."""
+        """Record the outcome of a claimed request; NOT_RUN releases the key."""
         attempts = self.claims_by_key.get(message.key, {})
         claim = attempts.get(message.attempt)
         if claim is None:
@@ -305,13 +307,13 @@
             del self.claims_by_key[message.key]
 
     def prune_attempts(self, attempts: dict[AttemptId, Claim], now: Instant) -> None:
-        """Forget claims of one key whose life is over."""
+        """Remove expired claims of one key."""
         life = self.policy.retention
         for attempt in [a for a, c in attempts.items() if now - c.granted_at > life]:
             del attempts[attempt]
 
     def expire_claims(self, now: Instant) -> None:
-        """Forget all claims whose life is over."""
+        """Remove expired claims of all keys."""
         for key, attempts in list(self.claims_by_key.items()):
             self.prune_attempts(attempts, now)
             if not attempts:
@@ -320,7 +322,7 @@
     def handle_handover_request(
         self, request: HandoverRequest, now: Instant
     ) -> Handover:
-        """Seal a view in favour of a later one and tell what is remembered."""
+        """Seal a view in favour of a later one and return one page of its claims."""
         if not self.has_full_memory:
             return Handover(remembers=False, incarnation=self.incarnation)
         self.lowest_allowed_view = max(
@@ -345,7 +347,7 @@
         )
 
     def record_join_request(self, request: HandoverRequest) -> tuple[View, ...]:
-        """Remember who joins which view; return what its earlier selves joined."""
+        """Record a join of a host; return the views its earlier incarnations joined."""
         asked = self.join_requests.setdefault(request.asker, [])
         same_incarnation = [a for a in asked if a.incarnation == request.incarnation]
         if all(a.view != request.successor for a in same_incarnation):
@@ -355,7 +357,7 @@
     def claims_page(
         self, after_key: str, now: Instant
     ) -> tuple[tuple[ClaimRecord, ...], bool]:
-        """Return the next claims by the order of keys, and whether more follow."""
+        """Return the claims of the next keys in order, and whether more keys follow."""
         self.expire_claims(now)
         keys = sorted(key for key in self.claims_by_key if key > after_key)
         records = tuple(
@@ -366,10 +368,10 @@
         return records, len(keys) > HANDOVER_PAGE_KEYS
 
     def merge_records(self, records: tuple[ClaimRecord, ...], now: Instant) -> None:
-        """Take claims that another guard remembers.
+        """Merge the claims that another guard remembers.
 
-        Two attempts may each have had votes for a key. Both are kept, so that when the
-        one that lost releases the key, the one that won still holds it.
+        Two attempts may each have received votes for a key. Both claims are kept, so
+        that the winning attempt still holds the key after the other releases it.
         """
         for record in records:
             attempts = self.claims_by_key.setdefault(record.key, {})
--- a/packages/core/src/sardinequay_core/engine_record.py
+++ b/packages/core/src/sardinequay_core/engine_record.py
@@ -1,4 +1,4 @@
-"""What a keeper works by, what it knows of an engine, and the orders that it gives."""
+"""Keeper policy, the keeper's record of an engine, and the keeper's commands."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -12,23 +12,25 @@
 
 @dataclass(frozen=True, slots=True)
 class KeeperPolicy:
-    """What a keeper works by.
+    """Timing and limits of a keeper.
 
     Parameters
     ----------
-    lease : timedelta
-        How long a use lease lasts.
+    lease_duration : timedelta
+        Duration of a use lease.
     longest_request : timedelta
-        The bound that hosts put on any request; an eviction outlasts it.
+        Maximum duration of any request, enforced by hosts; an eviction waits longer.
     report_lag : timedelta
-        How old what an engine reports may be.
-    trusts_reports : bool
-        Whether an engine that reports an adapter idle ends the wait for requests whose
-        lease ran out; else only the longest request does.
-    max_drains : int
-        Evictions prepared at once.
-    silent_after : timedelta
-        An engine without a report for so long gets no new work.
+        Maximum age of the state that an engine's report shows.
+    are_reports_trusted : bool
+        Whether a report that shows an adapter idle ends the wait for requests under
+        expired leases; otherwise only `longest_request` ends it.
+    max_concurrent_drains : int
+        Maximum number of evictions in preparation at once.
+    report_timeout : timedelta
+        An engine without a report for this long gets no new leases and loads.
+    load_policy : LoadPolicy
+        Limits and weights of the load queue.
     """
 
     lease_duration: timedelta = timedelta(seconds=10)
@@ -42,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself, late.
+    """An engine's report of its state, received with a delay.
 
     Parameters
     ----------
     incarnation : str
-        Differs after each restart, which loses all that was loaded.
+        Differs after each restart. A restart loses all loaded adapters.
     running, waiting : int
-        Requests in the batch, and those that wait for a place in it.
+        Requests in the batch, and requests queued for it.
     in_use : tuple of AdapterRef
-        Adapters with a request in the batch.
+        Adapters that requests in the batch use.
     """
 
     target: TargetId
@@ -66,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadCommand:
-    """Command: have an engine load an adapter; done at once if it holds it."""
+    """Command: make an engine load an adapter; no effect if it is resident."""
 
     use: AdapterUse
     token: int
@@ -74,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadCommand:
-    """Command: have an engine evict an adapter."""
+    """Command: make an engine evict an adapter."""
 
     use: AdapterUse
     token: int
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecallCommand:
-    """Command: ask a holder to stop using an adapter and to return its lease."""
+    """Command: ask a lease holder to stop using an adapter and return the lease."""
 
     holder: HolderId
     use: AdapterUse
@@ -93,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """When a lease ends, and the holder's message that it answers."""
+    """The end of a lease, and the sequence number of the message it answers."""
 
     until: Instant
     sequence: int
@@ -101,23 +103,26 @@
 
 @dataclass(slots=True)
 class EngineRecord:
-    """What the keeper knows of one engine.
+    """The keeper's record of one engine.
 
     Parameters
     ----------
     token : int
-        The last token used; 0 while another keeper has the engine.
-    reported_at : timedelta
-        When the last report came.
+        The last fencing token used; 0 while another keeper controls the engine.
+    is_token_pending : bool
+        Whether the engine has not yet accepted an order with this keeper's token.
     confirmed_at : timedelta or None
-        When the last report was asked for that showed no higher token.
-    asked_at : timedelta
-        When the last report was asked for.
-    foreign_until : timedelta
-        Until when leases of another keeper may last; unknown before the engine took
-        this keeper's token.
-    ordered : dict
-        What orders changed since, with the time: reports lag behind them.
+        When the last report that showed no higher token was requested.
+    reported_at : timedelta
+        When the last report arrived.
+    report_requested_at : timedelta
+        When the last report was requested.
+    foreign_leases_until : timedelta
+        When leases of another keeper have ended at the latest; `timedelta.max` until
+        the engine has accepted this keeper's token.
+    recent_orders : dict
+        Adapters recently loaded (True) or evicted (False) by order, with the time.
+        Reports may not show them yet.
     """
 
     target: Target
@@ -136,25 +141,27 @@
     resident: set[AdapterRef] = field(default_factory=set)
 
     def usable_adapters(self) -> list[AdapterRef]:
-        """Return resident adapters that are not on their way out."""
+        """Return the resident adapters that are not being drained."""
         return sorted(self.resident - self.draining)
 
     def free_slots(self) -> int:
-        """Return the slots that hold nothing and wait for nothing."""
+        """Return the number of slots without a resident or loading adapter."""
         if self.report is None:
             return 0
-        loading = self.loading is not None and self.loading not in self.resident
-        return self.report.slots - len(self.resident) - int(loading)
+        is_slot_reserved = (
+            self.loading is not None and self.loading not in self.resident
+        )
+        return self.report.slots - len(self.resident) - int(is_slot_reserved)
 
     def next_token(self) -> int:
-        """Return the token of the next order in this keeper's term."""
+        """Advance and return the fencing token for the next order in this term."""
         self.token += 1
         return self.token
 
     def can_order(self) -> bool:
-        """Return whether this keeper may order the engine at all."""
+        """Return whether this keeper controls the engine and has a report of it."""
         return self.report is not None and self.token > 0
 
     def request_count(self) -> int:
-        """Return the requests on the engine, as last reported."""
+        """Return the number of running and queued requests in the last report."""
         return self.report.running + self.report.waiting if self.report else 0
--- a/packages/core/src/sardinequay_core/guard_duty.py
+++ b/packages/core/src/sardinequay_core/guard_duty.py
@@ -1,4 +1,4 @@
-"""One host's duty as a guard of one data centre: voting, and heading for new views."""
+"""A host's role as a guard of one data centre: voting, and joining new views."""
 
 from dataclasses import dataclass, field
 
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True)
 class GuardDuty:
-    """A guard and its way into the newest view that it heard of.
+    """A guard, with the join of the newest known view if one is in progress.
 
     Parameters
     ----------
-    founding : View
-        View 0, from which every chain of views starts.
+    founding_view : View
+        View 0, from which all later views descend.
     """
 
     guard: Guard
@@ -30,36 +30,36 @@
     joining: ViewJoin | None = field(default=None)
 
     def record_listed_view(self, view: View, now: Instant) -> None:
-        """Take the view that the platform's list, read just now, defines."""
+        """Record the view defined by the platform's list, which was read at `now`."""
         self.guard.record_listed_view(view, now)
         self.join_newest_view(now)
 
     def record_view(self, view: View, now: Instant) -> None:
-        """Take a view that a peer told of."""
+        """Record a view that a peer reported."""
         self.guard.record_view(view)
         self.guard.enter_if_same_guards(view)
         self.join_newest_view(now)
 
     def handle_claim(self, request: ClaimRequest, now: Instant) -> ClaimVote:
-        """Vote, and head for a view that the claim makes known."""
+        """Vote on a claim, and join its view if that is newer."""
         vote = self.guard.handle_claim(request, now)
         self.join_newest_view(now)
         return vote
 
     def handle_settle(self, message: Settle) -> None:
-        """Take what became of a claimed request."""
+        """Record the outcome of a claimed request."""
         self.guard.handle_settle(message)
 
     def handle_handover_request(
         self, request: HandoverRequest, now: Instant
     ) -> Handover:
-        """Seal a view and tell what is remembered."""
+        """Seal a view, return a page of claims, and join the successor if needed."""
         handover = self.guard.handle_handover_request(request, now)
         self.join_newest_view(now)
         return handover
 
     def join_newest_view(self, now: Instant) -> None:
-        """Start to join the newest view, if this host guards in it."""
+        """Start to join the newest known view if this host is one of its guards."""
         guard = self.guard
         newest = guard.newest_known_view()
         if (
@@ -77,17 +77,17 @@
     def pending_requests(
         self, now: Instant
     ) -> list[tuple[GuardAddress, HandoverRequest]]:
-        """Return what to ask now, and whom."""
+        """Return the guards to request handovers from now, with the requests."""
         return self.joining.pending_requests(now) if self.joining else []
 
     def record_start_view(self, view: View) -> None:
-        """Take a view in which a peer votes, as a place to start from."""
+        """Record a view in which a peer votes, as a start for gathering claims."""
         self.guard.record_view(view)
         if self.joining is not None:
             self.joining.add_view(view)
 
     def enter_if_complete(self, now: Instant) -> View | None:
-        """Enter the view that is complete, if one is; return it then."""
+        """Enter the joined view if its claims are complete; return it, else None."""
         joining = self.joining
         if joining is None:
             return None
--- a/packages/core/src/sardinequay_core/keeper.py
+++ b/packages/core/src/sardinequay_core/keeper.py
@@ -1,14 +1,16 @@
 """The keeper of one pool in one data centre: loads, evictions and use leases.
 
-One entry host keeps all engines of a pool in its data centre. It alone orders loads and
-evictions there, each with a fencing token above the highest that the engine reported.
-
-An adapter is evicted only when no request under a use lease can be left: each lease was
-returned, or it ran out and then either the longest request has passed or a report that
-was asked for later than that shows the adapter idle. A keeper grants leases only while
-an engine's report, asked for less than a lease ago, showed no token above its own; so a
-replaced keeper stops granting, and its successor treats every adapter as leased until a
-lease after the engine took its token.
+One entry host, the keeper, controls all engines of a pool in its data centre. Only the
+keeper orders loads and evictions there. Each order carries a fencing token above the
+highest token that the engine reported. A use lease allows its holder, another host, to
+send requests for an adapter to an engine.
+
+An adapter is evicted only when no request under a use lease can be running: each lease
+was returned, or it expired and afterwards either the longest request duration has
+passed or a later requested report shows the adapter idle. A keeper grants leases only
+while a report requested less than a lease duration ago showed no token above its own.
+A replaced keeper therefore stops granting. Its successor treats every adapter as leased
+until one lease duration after the engine accepted the successor's token.
 """
 
 from collections.abc import Iterable
@@ -33,14 +35,15 @@
 
 SUFFIX_BITS = 20
 ORDER_BITS = 20
-"""A million orders in a term: days of loads at the highest rate."""
+"""Allows a million orders in a term: days of loads at the highest rate."""
 
 
 def first_token(highest: int, suffix: int) -> int:
-    """Return a new term's token, above all tokens of the terms before.
+    """Return the first fencing token of a new term, above all tokens of earlier terms.
 
-    A token is made of the term, the keeper's own suffix and the number of the order.
-    A keeper's later orders never rise above another keeper's newer term.
+    A token consists of the term, the keeper's suffix and the number of the order, from
+    high to low bits. Later orders of a keeper therefore never exceed the tokens of
+    another keeper's newer term.
     """
     term = (highest >> (SUFFIX_BITS + ORDER_BITS)) + 1
     return (term << SUFFIX_BITS | suffix) << ORDER_BITS
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class EvictionCandidate:
-    """An adapter that may be evicted, by its worth."""
+    """An adapter that may be evicted, ordered by its priority for staying loaded."""
 
     worth: float
     adapter: AdapterRef
@@ -56,17 +59,17 @@
 
 
 class Keeper:
-    """The state of one keepership; every method is a transition without any wait.
+    """The state of one keeper; its methods are state transitions and never block.
 
     Parameters
     ----------
     policy : KeeperPolicy
-        What it works by.
+        Timing and limits.
     suffix : int
-        Below ``1 << SUFFIX_BITS``, drawn at random by each keeper, so that two keepers
-        never use the same token.
+        Random number below ``1 << SUFFIX_BITS``, drawn by each keeper so that two
+        keepers never use the same token.
     now : timedelta
-        The monotonic clock's reading.
+        Reading of the monotonic clock.
     """
 
     def __init__(self, policy: KeeperPolicy, suffix: int, now: Instant) -> None:
@@ -76,139 +79,138 @@
         self.leases: dict[AdapterUse, dict[HolderId, LeaseGrant]] = {}
         self.queue = LoadQueue(policy.load_policy, now)
 
-    # What the platform and the engines say.
-
     def set_targets(self, targets: Iterable[Target]) -> None:
-        """Take the pool's engines in this data centre."""
+        """Set the pool's engines; an engine with a new address gets a new record."""
         listed = {t.target_id: t for t in targets}
         for removed in self.engines.keys() - listed.keys():
             del self.engines[removed]
         for target_id, target in listed.items():
-            kept = self.engines.get(target_id)
-            if kept is None or kept.target.address != target.address:
+            engine = self.engines.get(target_id)
+            if engine is None or engine.target.address != target.address:
                 self.engines[target_id] = EngineRecord(target)
             else:
-                kept.target = target
+                engine.target = target
 
     def handle_report(
         self, report: EngineReport, asked_at: Instant, now: Instant
     ) -> None:
-        """Take an engine's report that was asked for at `asked_at`."""
-        kept = self.engines.get(report.target)
-        if kept is None:
+        """Apply an engine's report that was requested at `asked_at`."""
+        engine = self.engines.get(report.target)
+        if engine is None:
             return
-        before = kept.report
-        kept.report = report
-        kept.reported_at = now
-        kept.report_requested_at = asked_at
-        if before is None:
-            self.take_over_engine(kept)
-        elif before.incarnation != report.incarnation:
-            self.handle_engine_restart(kept)
-        elif kept.token and report.highest_token > kept.token:
-            self.step_down(kept, now)
-        self.apply_recent_orders(kept, asked_at)
-        if kept.token and not kept.is_token_pending:
-            kept.confirmed_at = max(kept.confirmed_at or asked_at, asked_at)
-
-    def step_down(self, kept: EngineRecord, now: Instant) -> None:
-        """Leave an engine to the keeper with the higher token."""
-        kept.token = 0
-        kept.confirmed_at = None
-        kept.stepped_down_at = now
+        previous = engine.report
+        engine.report = report
+        engine.reported_at = now
+        engine.report_requested_at = asked_at
+        if previous is None:
+            self.take_over_engine(engine)
+        elif previous.incarnation != report.incarnation:
+            self.handle_engine_restart(engine)
+        elif engine.token and report.highest_token > engine.token:
+            self.step_down(engine, now)
+        self.apply_recent_orders(engine, asked_at)
+        if engine.token and not engine.is_token_pending:
+            engine.confirmed_at = max(engine.confirmed_at or asked_at, asked_at)
+
+    def step_down(self, engine: EngineRecord, now: Instant) -> None:
+        """Give up control of an engine to the keeper with the higher token."""
+        engine.token = 0
+        engine.confirmed_at = None
+        engine.stepped_down_at = now
 
     def handle_superseded(self, target: TargetId, now: Instant) -> None:
-        """Take an engine's refusal of an order because of its old token."""
-        kept = self.engines.get(target)
-        if kept is not None:
-            kept.loading = None
-            kept.unloading.clear()
-            self.step_down(kept, now)
-
-    def take_over_engine(self, kept: EngineRecord) -> None:
-        """Become an engine's keeper, with a higher token that it must take first."""
-        assert kept.report is not None
-        kept.token = first_token(kept.report.highest_token, self.suffix)
-        kept.stepped_down_at = None
-        self.start_token_assertion(kept)
-
-    def start_token_assertion(self, kept: EngineRecord) -> None:
-        """Grant and evict nothing until the engine took this keeper's token."""
-        kept.is_token_pending = True
-        kept.confirmed_at = None
-        kept.foreign_leases_until = timedelta.max
-
-    def handle_engine_restart(self, kept: EngineRecord) -> None:
-        """Take an engine that lost all it had.
-
-        Its leases are kept: holders may still dispatch under them, and an adapter
-        that is loaded again must not be evicted under such a request. It forgot its
-        highest token too, so the token is asserted anew before anything is granted.
+        """Handle an engine's rejection of an order because of an outdated token."""
+        engine = self.engines.get(target)
+        if engine is not None:
+            engine.loading = None
+            engine.unloading.clear()
+            self.step_down(engine, now)
+
+    def take_over_engine(self, engine: EngineRecord) -> None:
+        """Take control of an engine with a higher token, which it must accept first."""
+        assert engine.report is not None
+        engine.token = first_token(engine.report.highest_token, self.suffix)
+        engine.stepped_down_at = None
+        self.start_token_assertion(engine)
+
+    def start_token_assertion(self, engine: EngineRecord) -> None:
+        """Suspend leases and evictions until the engine accepts this keeper's token."""
+        engine.is_token_pending = True
+        engine.confirmed_at = None
+        engine.foreign_leases_until = timedelta.max
+
+    def handle_engine_restart(self, engine: EngineRecord) -> None:
+        """Handle a restart of an engine, which loses all its adapters.
+
+        Leases are kept: holders may still dispatch under them, and a reloaded adapter
+        must not be evicted while such a request runs. The engine has also lost its
+        highest token, so the token is asserted again before any lease is granted.
         """
-        self.start_token_assertion(kept)
-        kept.loading = None
-        kept.draining.clear()
-        kept.unloading.clear()
-        kept.recent_orders.clear()
-
-    def apply_recent_orders(self, kept: EngineRecord, asked_at: Instant) -> None:
-        """Hold what orders changed against reports that are older than they."""
-        assert kept.report is not None
-        resident = set(kept.report.resident)
-        for adapter, (present, at) in list(kept.recent_orders.items()):
-            if asked_at > at + self.policy.report_lag:
-                del kept.recent_orders[adapter]
-            elif present:
+        self.start_token_assertion(engine)
+        engine.loading = None
+        engine.draining.clear()
+        engine.unloading.clear()
+        engine.recent_orders.clear()
+
+    def apply_recent_orders(self, engine: EngineRecord, asked_at: Instant) -> None:
+        """Combine the report with recent orders that it may be too old to show."""
+        assert engine.report is not None
+        resident = set(engine.report.resident)
+        for adapter, (is_loaded, ordered_at) in list(engine.recent_orders.items()):
+            if asked_at > ordered_at + self.policy.report_lag:
+                del engine.recent_orders[adapter]
+            elif is_loaded:
                 resident.add(adapter)
             else:
                 resident.discard(adapter)
-        kept.resident = resident
-        kept.draining &= resident | kept.unloading
-
-    # What the hosts ask.
+        engine.resident = resident
+        engine.draining &= resident | engine.unloading
 
-    def can_grant(self, kept: EngineRecord, now: Instant) -> bool:
-        """Return whether this keeper's authority over an engine is recent enough."""
+    def can_grant(self, engine: EngineRecord, now: Instant) -> bool:
+        """Return whether this keeper's control of an engine was confirmed recently."""
         return (
-            kept.token > 0
-            and kept.confirmed_at is not None
-            and now < kept.confirmed_at + self.policy.lease_duration
+            engine.token > 0
+            and engine.confirmed_at is not None
+            and now < engine.confirmed_at + self.policy.lease_duration
         )
 
     def grant_lease(
-        self, kept: EngineRecord, use: AdapterUse, holder: HolderId, sequence: int
+        self, engine: EngineRecord, use: AdapterUse, holder: HolderId, sequence: int
     ) -> None:
-        """Grant a lease that ends with this keeper's own authority at the latest."""
-        assert kept.confirmed_at is not None
-        until = kept.confirmed_at + self.policy.lease_duration
-        old = self.leases.setdefault(use, {}).get(holder)
-        if old is not None:
-            until, sequence = max(until, old.until), max(sequence, old.sequence)
+        """Grant a lease that ends no later than this keeper's confirmed control."""
+        assert engine.confirmed_at is not None
+        until = engine.confirmed_at + self.policy.lease_duration
+        earlier = self.leases.setdefault(use, {}).get(holder)
+        if earlier is not None:
+            until, sequence = (
+                max(until, earlier.until),
+                max(sequence, earlier.sequence),
+            )
         self.leases[use][holder] = LeaseGrant(until, sequence)
 
     def handle_acquire(
         self, holder: HolderId, adapter: AdapterRef, sequence: int, now: Instant
     ) -> list[tuple[AdapterUse, timedelta]]:
-        """Grant leases on every engine of the data centre that holds an adapter.
+        """Grant leases on all engines of the data centre that hold an adapter.
 
         Returns
         -------
         list of (Use, timedelta)
-            Each lease with how long it lasts from now.
+            Each lease with its remaining duration.
         """
         self.queue.demand.record_requests(adapter, now)
         granted = []
-        for target_id, kept in self.engines.items():
+        for target_id, engine in self.engines.items():
             use = AdapterUse(adapter, target_id)
-            if adapter in kept.resident and self.is_renewable(kept, use, now):
-                self.grant_lease(kept, use, holder, sequence)
-                granted.append((use, self.remaining_lease(kept, now)))
+            if adapter in engine.resident and self.is_renewable(engine, use, now):
+                self.grant_lease(engine, use, holder, sequence)
+                granted.append((use, self.remaining_lease(engine, now)))
         return granted
 
-    def remaining_lease(self, kept: EngineRecord, now: Instant) -> timedelta:
-        """Return how long a lease granted now lasts."""
-        assert kept.confirmed_at is not None
-        return kept.confirmed_at + self.policy.lease_duration - now
+    def remaining_lease(self, engine: EngineRecord, now: Instant) -> timedelta:
+        """Return the duration of a lease granted at `now`."""
+        assert engine.confirmed_at is not None
+        return engine.confirmed_at + self.policy.lease_duration - now
 
     def handle_renew(
         self,
@@ -217,65 +219,66 @@
         sequence: int,
         now: Instant,
     ) -> list[tuple[AdapterUse, timedelta]]:
-        """Renew a holder's leases and return those renewed; the others are recalled.
+        """Renew a holder's leases and list the renewed ones; the others are recalled.
 
-        A lease that is not renewed is not returned by that: the holder may have begun
-        a request since it asked, and says so itself when it has stopped.
+        A lease that is not renewed does not count as returned: the holder may have
+        started a request since it asked, and returns the lease itself.
         """
         renewed = []
         for use, in_flight in uses:
-            kept = self.engines.get(use.target)
-            if kept is None or use.adapter not in kept.resident:
+            engine = self.engines.get(use.target)
+            if engine is None or use.adapter not in engine.resident:
                 continue
-            if self.is_renewable(kept, use, now):
+            if self.is_renewable(engine, use, now):
                 self.queue.demand.record_requests(use.adapter, now, in_flight)
-                self.grant_lease(kept, use, holder, sequence)
-                renewed.append((use, self.remaining_lease(kept, now)))
+                self.grant_lease(engine, use, holder, sequence)
+                renewed.append((use, self.remaining_lease(engine, now)))
             elif in_flight:
-                # Recalled, but still running: the eviction waits for it.
+                # The lease is recalled, but its requests still run: extending the grant
+                # makes the eviction wait for them.
                 until = now + self.policy.lease_duration
                 self.leases.setdefault(use, {})[holder] = LeaseGrant(until, sequence)
         return renewed
 
-    def is_renewable(self, kept: EngineRecord, use: AdapterUse, now: Instant) -> bool:
-        """Return whether leases on a use are granted and go on."""
+    def is_renewable(self, engine: EngineRecord, use: AdapterUse, now: Instant) -> bool:
+        """Return whether leases on a use may be granted and renewed."""
         return (
-            use.adapter not in kept.draining
-            and kept.target.presence is Presence.LIVE
-            and self.is_responsive(kept, now)
-            and self.can_grant(kept, now)
+            use.adapter not in engine.draining
+            and engine.target.presence is Presence.LIVE
+            and self.is_responsive(engine, now)
+            and self.can_grant(engine, now)
         )
 
-    def is_responsive(self, kept: EngineRecord, now: Instant) -> bool:
-        """Return whether an engine reported lately."""
-        return now - kept.reported_at <= self.policy.report_timeout
+    def is_responsive(self, engine: EngineRecord, now: Instant) -> bool:
+        """Return whether an engine reported within the report timeout."""
+        return now - engine.reported_at <= self.policy.report_timeout
 
     def handle_lease_return(
         self, holder: HolderId, use: AdapterUse, sequence: int
     ) -> None:
-        """Take a lease back, unless it was granted by a later message."""
-        held = self.leases.get(use, {})
-        grant = held.get(holder)
+        """Remove a returned lease, unless it was granted again by a later message."""
+        grants = self.leases.get(use, {})
+        grant = grants.get(holder)
         if grant is not None and sequence >= grant.sequence:
-            del held[holder]
+            del grants[holder]
 
     def handle_load_request(
         self, ticket: int, adapter: AdapterRef, deadline: Instant, now: Instant
     ) -> RejectWaiter | None:
-        """Queue a request for a cold adapter, or give it up at once."""
+        """Queue a request for an adapter that is not loaded, or reject it at once."""
         self.queue.demand.record_requests(adapter, now)
         if adapter in self.loading_adapters():
             deadline = max(deadline, now + self.queue.load_time)
         return self.queue.add_request(ticket, adapter, deadline, now)
 
     def loading_adapters(self) -> frozenset[AdapterRef]:
-        """Return the adapters whose load is under way."""
-        return frozenset(k.loading for k in self.engines.values() if k.loading)
-
-    # What is decided.
+        """Return the adapters that are being loaded."""
+        return frozenset(
+            engine.loading for engine in self.engines.values() if engine.loading
+        )
 
     def tick(self, now: Instant) -> list[Command]:
-        """Decide what to order now."""
+        """Return the commands to carry out at `now`."""
         self.queue.refill_permits(now)
         self.queue.demand.prune_idle(now)
         self.retake_engines(now)
@@ -287,175 +290,189 @@
         return commands + self.advance_loads(now)
 
     def retake_engines(self, now: Instant) -> None:
-        """Take an engine again that another keeper had, if it is still ours to keep."""
-        for kept in self.engines.values():
-            at = kept.stepped_down_at
-            if at is not None and now >= at + self.policy.lease_duration:
-                self.take_over_engine(kept)
+        """Take control again of engines lost to another keeper at least a lease ago."""
+        for engine in self.engines.values():
+            lost_at = engine.stepped_down_at
+            if lost_at is not None and now >= lost_at + self.policy.lease_duration:
+                self.take_over_engine(engine)
 
     def assert_tokens(self) -> list[Command]:
-        """Make taken-over engines know the new token by an order without effect."""
+        """Make engines accept the new token by an order for a resident adapter."""
         commands: list[Command] = []
-        for kept in self.engines.values():
-            if kept.is_token_pending and kept.resident and kept.loading is None:
-                adapter = min(kept.resident)
-                kept.loading = adapter
-                use = AdapterUse(adapter, kept.target.target_id)
-                commands.append(LoadCommand(use, kept.next_token()))
+        for engine in self.engines.values():
+            if engine.is_token_pending and engine.resident and engine.loading is None:
+                adapter = min(engine.resident)
+                engine.loading = adapter
+                use = AdapterUse(adapter, engine.target.target_id)
+                commands.append(LoadCommand(use, engine.next_token()))
         return commands
 
     def orderable_engines(self) -> list[EngineRecord]:
-        """Return the engines that may be ordered to load or evict."""
+        """Return the live engines that this keeper controls."""
         return [
-            kept
-            for kept in self.engines.values()
-            if kept.can_order() and kept.target.presence is Presence.LIVE
+            engine
+            for engine in self.engines.values()
+            if engine.can_order() and engine.target.presence is Presence.LIVE
         ]
 
     def advance_loads(self, now: Instant) -> list[Command]:
-        """Order loads where slots are free, else make room, the most wanted first."""
+        """Order loads by priority on free slots; start evictions if no slot is free."""
         commands: list[Command] = []
         loading = self.loading_adapters()
-        room = self.engines_with_free_slots(now)
-        victims: list[EvictionCandidate] | None = None
-        drains = sum(len(kept.draining) for kept in self.engines.values())
+        free_engines = self.engines_with_free_slots(now)
+        candidates: list[EvictionCandidate] | None = None
+        drain_count = sum(len(engine.draining) for engine in self.engines.values())
         for adapter in self.queue.loadable_adapters(now):
             if adapter in loading:
                 continue
-            kept = next((k for k in room if adapter not in k.resident), None)
-            if kept is not None:
+            engine = next(
+                (
+                    candidate
+                    for candidate in free_engines
+                    if adapter not in candidate.resident
+                ),
+                None,
+            )
+            if engine is not None:
                 if self.queue.permits < 1:
                     break
-                room.remove(kept)
-                commands.append(self.load_command(kept, adapter))
+                free_engines.remove(engine)
+                commands.append(self.load_command(engine, adapter))
                 continue
-            if drains >= self.policy.max_concurrent_drains:
+            if drain_count >= self.policy.max_concurrent_drains:
                 break
-            victims = self.eviction_candidates(now) if victims is None else victims
-            if not victims or victims[0].worth >= self.queue.priority(adapter, now):
+            candidates = (
+                self.eviction_candidates(now) if candidates is None else candidates
+            )
+            if not candidates or candidates[0].worth >= self.queue.priority(
+                adapter, now
+            ):
                 break
-            victim = victims.pop(0)
-            drains += 1
-            commands += self.drain_adapter(self.engines[victim.target], victim.adapter)
+            evicted = candidates.pop(0)
+            drain_count += 1
+            commands += self.drain_adapter(
+                self.engines[evicted.target], evicted.adapter
+            )
         return commands
 
-    def load_command(self, kept: EngineRecord, adapter: AdapterRef) -> LoadCommand:
-        """Spend a permit on a load."""
+    def load_command(self, engine: EngineRecord, adapter: AdapterRef) -> LoadCommand:
+        """Return the command to load an adapter, and consume a load permit."""
         self.queue.permits -= 1
-        kept.loading = adapter
+        engine.loading = adapter
         return LoadCommand(
-            AdapterUse(adapter, kept.target.target_id), kept.next_token()
+            AdapterUse(adapter, engine.target.target_id), engine.next_token()
         )
 
     def engines_with_free_slots(self, now: Instant) -> list[EngineRecord]:
-        """Return the engines that can load now, the least busy first."""
-        free = [
-            kept
-            for kept in self.orderable_engines()
-            if kept.free_slots() > 0
-            and kept.loading is None
-            and self.is_responsive(kept, now)
+        """Return the engines that can load an adapter now, least busy first."""
+        loadable = [
+            engine
+            for engine in self.orderable_engines()
+            if engine.free_slots() > 0
+            and engine.loading is None
+            and self.is_responsive(engine, now)
         ]
         return sorted(
-            free, key=lambda kept: (kept.request_count(), kept.target.target_id)
+            loadable,
+            key=lambda engine: (engine.request_count(), engine.target.target_id),
         )
 
     def eviction_candidates(self, now: Instant) -> list[EvictionCandidate]:
-        """Return the adapters that may be evicted, the least wanted first."""
+        """Return the adapters that may be evicted, lowest priority first."""
         return sorted(
             EvictionCandidate(
-                self.queue.priority(resident, now), resident, kept.target.target_id
+                self.queue.priority(resident, now), resident, engine.target.target_id
             )
-            for kept in self.orderable_engines()
-            if not kept.is_token_pending and now >= kept.foreign_leases_until
-            for resident in kept.usable_adapters()
-            if resident != kept.loading
+            for engine in self.orderable_engines()
+            if not engine.is_token_pending and now >= engine.foreign_leases_until
+            for resident in engine.usable_adapters()
+            if resident != engine.loading
         )
 
-    def drain_adapter(self, kept: EngineRecord, victim: AdapterRef) -> list[Command]:
-        """Stop granting an adapter and recall what was granted."""
-        kept.draining.add(victim)
-        use = AdapterUse(victim, kept.target.target_id)
+    def drain_adapter(self, engine: EngineRecord, drained: AdapterRef) -> list[Command]:
+        """Stop granting leases on an adapter and return recalls of the granted ones."""
+        engine.draining.add(drained)
+        use = AdapterUse(drained, engine.target.target_id)
         return [
             RecallCommand(holder, use) for holder in sorted(self.leases.get(use, {}))
         ]
 
     def unload_drained(self, now: Instant) -> list[Command]:
-        """Order the eviction of adapters that nobody can use any more."""
+        """Order the eviction of drained adapters that no request can use any more."""
         commands: list[Command] = []
-        for kept in self.orderable_engines():
-            for adapter in sorted(kept.draining - kept.unloading):
-                use = AdapterUse(adapter, kept.target.target_id)
-                if self.is_unused(kept, use, now):
-                    kept.unloading.add(adapter)
-                    commands.append(UnloadCommand(use, kept.next_token()))
+        for engine in self.orderable_engines():
+            for adapter in sorted(engine.draining - engine.unloading):
+                use = AdapterUse(adapter, engine.target.target_id)
+                if self.is_unused(engine, use, now):
+                    engine.unloading.add(adapter)
+                    commands.append(UnloadCommand(use, engine.next_token()))
         return commands
 
-    def is_unused(self, kept: EngineRecord, use: AdapterUse, now: Instant) -> bool:
-        """Return whether no request under a lease on a use can be left."""
+    def is_unused(self, engine: EngineRecord, use: AdapterUse, now: Instant) -> bool:
+        """Return whether no request under a lease on this use can be running."""
         ends = [grant.until for grant in self.leases.get(use, {}).values()]
-        ends.append(kept.foreign_leases_until)
-        in_use = kept.report is not None and use.adapter in kept.report.in_use
-        return not in_use and self.are_requests_over(kept, max(ends), now)
-
-    def are_requests_over(self, kept: EngineRecord, end: Instant, now: Instant) -> bool:
-        """Return whether requests under leases that ended at `end` are surely over."""
+        ends.append(engine.foreign_leases_until)
+        in_use = engine.report is not None and use.adapter in engine.report.in_use
+        return not in_use and self.are_requests_over(engine, max(ends), now)
+
+    def are_requests_over(
+        self, engine: EngineRecord, end: Instant, now: Instant
+    ) -> bool:
+        """Return whether all requests under leases that ended at `end` have ended."""
         if now < end:
             return False
         lag = self.policy.report_lag
-        if self.policy.are_reports_trusted and kept.report_requested_at >= end + lag:
+        if self.policy.are_reports_trusted and engine.report_requested_at >= end + lag:
             return True
         return now >= end + self.policy.longest_request
 
-    # What became of orders.
-
     def handle_load_done(
         self, use: AdapterUse, load_duration: timedelta, now: Instant
     ) -> tuple[int, ...]:
-        """Take a finished load; return the tickets that need not wait any more."""
-        kept = self.engines.get(use.target)
-        if kept is None or kept.loading != use.adapter:
+        """Record a completed load; return the tickets of the requests it was for."""
+        engine = self.engines.get(use.target)
+        if engine is None or engine.loading != use.adapter:
             return ()
-        kept.loading = None
-        kept.resident.add(use.adapter)
-        kept.recent_orders[use.adapter] = (True, now)
-        if kept.is_token_pending:
-            kept.is_token_pending = False
-            # Another keeper may be confirmed by a report from just before.
-            kept.foreign_leases_until = (
+        engine.loading = None
+        engine.resident.add(use.adapter)
+        engine.recent_orders[use.adapter] = (True, now)
+        if engine.is_token_pending:
+            engine.is_token_pending = False
+            # A report from just before may have confirmed another keeper's control.
+            engine.foreign_leases_until = (
                 now + self.policy.report_lag + self.policy.lease_duration
             )
-        if kept.token:
-            kept.confirmed_at = max(
-                kept.confirmed_at or now - load_duration, now - load_duration
+        if engine.token:
+            engine.confirmed_at = max(
+                engine.confirmed_at or now - load_duration, now - load_duration
             )
         return self.queue.remove_loaded(use.adapter, load_duration)
 
     def handle_load_failed(self, use: AdapterUse, now: Instant) -> None:
-        """Take a failed load: back off, and try where room is when the time comes."""
-        kept = self.engines.get(use.target)
-        if kept is not None and kept.loading == use.adapter:
-            kept.loading = None
-        if kept is None or not kept.is_token_pending:
+        """Record a failed load and delay further attempts; any engine may retry it."""
+        engine = self.engines.get(use.target)
+        if engine is not None and engine.loading == use.adapter:
+            engine.loading = None
+        if engine is None or not engine.is_token_pending:
             self.queue.back_off(use.adapter, now)
 
     def handle_unload_done(self, use: AdapterUse, now: Instant) -> None:
-        """Take a finished eviction."""
-        kept = self.engines.get(use.target)
-        if kept is None:
+        """Record a completed eviction."""
+        engine = self.engines.get(use.target)
+        if engine is None:
             return
-        kept.unloading.discard(use.adapter)
-        kept.draining.discard(use.adapter)
-        kept.resident.discard(use.adapter)
-        kept.recent_orders[use.adapter] = (False, now)
+        engine.unloading.discard(use.adapter)
+        engine.draining.discard(use.adapter)
+        engine.resident.discard(use.adapter)
+        engine.recent_orders[use.adapter] = (False, now)
         self.leases.pop(use, None)
 
     def handle_unload_failed(self, use: AdapterUse) -> None:
-        """Take an eviction of unknown fate; it is ordered again at the next tick."""
-        kept = self.engines.get(use.target)
-        if kept is not None:
-            kept.unloading.discard(use.adapter)
+        """Handle an eviction of unknown result; the next tick orders it again."""
+        engine = self.engines.get(use.target)
+        if engine is not None:
+            engine.unloading.discard(use.adapter)
 
     def lease_holders(self, use: AdapterUse) -> tuple[HolderId, ...]:
-        """Return who holds a lease on a use."""
+        """Return the holders of leases on a use."""
         return tuple(sorted(self.leases.get(use, {})))
--- a/packages/core/src/sardinequay_core/load_queue.py
+++ b/packages/core/src/sardinequay_core/load_queue.py
@@ -1,4 +1,4 @@
-"""Who waits for which cold adapter, and in which order loads are spent on them."""
+"""Queue of requests that wait for adapters, and the priority of adapter loads."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -9,27 +9,28 @@
 
 MAX_BACKOFF_DOUBLINGS = 5
 LOAD_TIME_SMOOTHING = 0.75
-"""How much of the old estimate of a load's duration is kept at each new load."""
+"""Weight of the old value in the moving average of the load duration."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPolicy:
-    """What the order of loads follows.
+    """Rates, weights and limits of the load queue.
 
     Parameters
     ----------
     loads_per_s : float
-        This data centre's share of the weight store's rate for the pool.
+        Load permits per second: this data centre's share of the weight store's rate for
+        the pool.
     burst : float
-        Permits that may be saved up.
+        Maximum number of accumulated permits.
     load_time : timedelta
-        How long a load is expected to take before any was seen.
+        Expected duration of a load before any was measured.
     stall_weight, batch_weight : float
-        The bundle's weights, 0 to 1.
-    backoff : timedelta
-        The wait after a failed load, doubled at each further failure.
-    max_adapters : int
-        Adapters that may be waited for at once.
+        The bundle's weights for load stalls and batch efficiency, 0 to 1.
+    initial_backoff : timedelta
+        Delay after a failed load; doubled after each further failure.
+    max_waiting_adapters : int
+        Maximum number of adapters that requests wait for at once.
     """
 
     loads_per_s: float = 1.0
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectWaiter:
-    """Command: tell one waiting request when to come back."""
+    """Command: reject one waiting request and tell it when to retry."""
 
     ticket: int
     retry_after: timedelta
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True)
 class WaitingRequests:
-    """Requests of the data centre that wait for one adapter, by their tickets."""
+    """Deadlines by ticket of the requests waiting for an adapter, and its backoff."""
 
     deadlines: dict[int, Instant] = field(default_factory=dict)
     failures: int = 0
@@ -59,7 +60,7 @@
 
 
 class LoadQueue:
-    """Waiting requests, the demand for adapters and the permits to load."""
+    """Waiting requests, adapter demand and load permits of a pool."""
 
     def __init__(self, policy: LoadPolicy, now: Instant) -> None:
         self.policy = policy
@@ -70,7 +71,7 @@
         self.refilled_at = now
 
     def refill_permits(self, now: Instant) -> None:
-        """Earn load permits at the data centre's share of the store's rate."""
+        """Add the load permits accumulated since the last call, up to the burst."""
         earned = (now - self.refilled_at).total_seconds() * self.policy.loads_per_s
         self.permits = min(self.policy.burst, self.permits + earned)
         self.refilled_at = now
@@ -78,22 +79,23 @@
     def priority(
         self, adapter: AdapterRef, now: Instant, extra_requests: int = 0
     ) -> float:
-        """Return the worth of loading or keeping an adapter.
+        """Return the priority of loading an adapter or keeping it loaded.
 
-        Requests that wait count for the weight on load stalls; demand, which is what
-        fills batches once the adapter is loaded, for the weight on batch efficiency.
+        Waiting requests and demand count with the weight of load stalls. Demand counts
+        again with the weight of batch efficiency, because it fills batches once the
+        adapter is loaded.
         """
         waiting = self.waiting.get(adapter)
-        count = (len(waiting.deadlines) if waiting else 0) + extra_requests
-        value = self.demand.decayed_count(adapter, now)
-        return self.policy.stall_weight * (count + value) + (
-            self.policy.batch_weight * value
+        request_count = (len(waiting.deadlines) if waiting else 0) + extra_requests
+        current_demand = self.demand.decayed_count(adapter, now)
+        return self.policy.stall_weight * (request_count + current_demand) + (
+            self.policy.batch_weight * current_demand
         )
 
     def add_request(
         self, ticket: int, adapter: AdapterRef, deadline: Instant, now: Instant
     ) -> RejectWaiter | None:
-        """Queue a request, or give it up at once if its load would come too late."""
+        """Queue a request, or reject it if the queue is full or the load too late."""
         expected = self.expected_wait(adapter, now)
         waiting = self.waiting.get(adapter)
         is_full = (
@@ -107,7 +109,7 @@
         return None
 
     def cancel_request(self, ticket: int, adapter: AdapterRef) -> None:
-        """Forget a request that its caller gave up."""
+        """Remove a request that its caller cancelled."""
         waiting = self.waiting.get(adapter)
         if waiting is None:
             return
@@ -115,25 +117,25 @@
         self.prune_if_empty(adapter)
 
     def prune_if_empty(self, adapter: AdapterRef) -> None:
-        """Forget an adapter for which nobody waits, unless it is held back."""
+        """Remove an adapter without waiting requests, unless its loads failed."""
         waiting = self.waiting.get(adapter)
         if waiting is not None and not waiting.deadlines and not waiting.failures:
             del self.waiting[adapter]
 
     def expected_wait(self, adapter: AdapterRef, now: Instant) -> timedelta:
-        """Return how long one more request would wait for this adapter's load."""
+        """Return the expected wait of one more request for this adapter."""
         own_priority = self.priority(adapter, now, extra_requests=1)
-        ahead = sum(
+        loads_ahead = sum(
             1
             for other in self.waiting
             if other != adapter and self.priority(other, now) >= own_priority
         )
-        return self.estimate_wait(ahead, self.waiting.get(adapter), now)
+        return self.estimate_wait(loads_ahead, self.waiting.get(adapter), now)
 
     def estimate_wait(
         self, loads_ahead: int, waiting: WaitingRequests | None, now: Instant
     ) -> timedelta:
-        """Return the wait with `ahead` loads to be done first."""
+        """Return the expected wait when `loads_ahead` loads come first."""
         if self.policy.loads_per_s <= 0:
             return timedelta.max / 2
         permit_wait = seconds(
@@ -143,28 +145,28 @@
         return max(permit_wait, backoff_left) + self.load_time
 
     def loadable_adapters(self, now: Instant) -> list[AdapterRef]:
-        """Return the adapters that may be loaded now, the most worth it first."""
-        ready = [
+        """Return the adapters that may be loaded now, highest priority first."""
+        loadable = [
             a for a, w in self.waiting.items() if w.deadlines and w.not_before <= now
         ]
-        return sorted(ready, key=lambda a: (-self.priority(a, now), a))
+        return sorted(loadable, key=lambda a: (-self.priority(a, now), a))
 
     def reject_late_requests(
         self, now: Instant, loading: frozenset[AdapterRef]
     ) -> list[RejectWaiter]:
-        """Give up, at once, requests whose load would come after their deadline."""
+        """Reject the requests whose adapter would be loaded after their deadline."""
         commands = []
         ranked = sorted(self.waiting, key=lambda a: (-self.priority(a, now), a))
-        ahead = 0
+        loads_ahead = 0
         for adapter in ranked:
             waiting = self.waiting[adapter]
             if adapter in loading:
                 wait = ZERO
             else:
-                wait = self.estimate_wait(ahead, waiting, now)
-                ahead += 1
-            late = [t for t, d in waiting.deadlines.items() if now + wait > d]
-            for ticket in late:
+                wait = self.estimate_wait(loads_ahead, waiting, now)
+                loads_ahead += 1
+            late_tickets = [t for t, d in waiting.deadlines.items() if now + wait > d]
+            for ticket in late_tickets:
                 del waiting.deadlines[ticket]
                 commands.append(RejectWaiter(ticket, wait or self.load_time))
             self.reset_failures_if_idle(waiting, now)
@@ -172,21 +174,21 @@
         return commands
 
     def reset_failures_if_idle(self, waiting: WaitingRequests, now: Instant) -> None:
-        """Forgive failed loads that nobody has waited for since the hold ended."""
+        """Reset the failure count of an idle adapter when its backoff has ended."""
         if not waiting.deadlines and now >= waiting.not_before:
             waiting.failures = 0
 
     def remove_loaded(
         self, adapter: AdapterRef, load_duration: timedelta
     ) -> tuple[int, ...]:
-        """Take a finished load; return the tickets that need not wait any more."""
-        old = self.load_time * LOAD_TIME_SMOOTHING
-        self.load_time = old + load_duration * (1 - LOAD_TIME_SMOOTHING)
+        """Remove a loaded adapter; return the tickets of its waiting requests."""
+        old_estimate = self.load_time * LOAD_TIME_SMOOTHING
+        self.load_time = old_estimate + load_duration * (1 - LOAD_TIME_SMOOTHING)
         waiting = self.waiting.pop(adapter, None)
         return tuple(waiting.deadlines) if waiting else ()
 
     def back_off(self, adapter: AdapterRef, now: Instant) -> None:
-        """Take a failed load: hold the adapter back, longer each time."""
+        """Delay an adapter's next load after a failure, with exponential backoff."""
         waiting = self.waiting.setdefault(adapter, WaitingRequests())
         doublings = min(waiting.failures, MAX_BACKOFF_DOUBLINGS)
         waiting.failures += 1
--- a/packages/core/src/sardinequay_core/membership.py
+++ b/packages/core/src/sardinequay_core/membership.py
@@ -1,14 +1,14 @@
-"""Membership of the entry hosts of one data centre, by gossip at constant cost.
+"""SWIM membership of the entry hosts of one data centre, with constant cost per host.
 
-Each period a host pings one peer, and with ping and answer both tell the news of
-members that they heard of lately. A silent peer becomes suspected, then dead; a member
-that hears itself suspected refutes it with a higher incarnation.
+Each host pings one peer per interval. Pings and their answers carry recent membership
+updates. A peer that does not answer becomes suspected, then dead. A member that
+receives an update in which it is suspected refutes it with a higher incarnation.
 
 References
 ----------
 A. Das, I. Gupta and A. Motivala, "SWIM: scalable weakly-consistent infection-style
-process group membership protocol", DSN 2002. Indirect pings are left out: a peer that
-some can reach refutes suspicion through them.
+process group membership protocol", DSN 2002. Indirect pings are omitted: a peer that
+some hosts can reach refutes a suspicion through those hosts.
 """
 
 from collections.abc import Iterable
@@ -22,18 +22,18 @@
 
 UPDATES_PER_MESSAGE = 6
 UPDATE_REPEATS = 6
-"""How often one piece of news is told; about log2 of the hosts in a data centre."""
+"""How often one update is sent; about log2 of the hosts in a data centre."""
 
 
 class Shuffler(Protocol):
-    """Where randomness comes from: the core is handed a generator."""
+    """A source of randomness; the core has none of its own."""
 
     def shuffle(self, x: list[Any], /) -> None:
         """Shuffle a list in place."""
 
 
 class Health(IntEnum):
-    """How a member is seen; of one incarnation the higher value is believed."""
+    """A member's state; between updates of one incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One entry host as its peers see it."""
+    """One entry host and its state, as exchanged between peers."""
 
     host_id: HostId
     address: Address
@@ -51,22 +51,23 @@
     health: Health = Health.ALIVE
 
     def overrides(self, other: "Member") -> bool:
-        """Return whether this is later news than `other`."""
+        """Return whether this update supersedes `other`."""
         return (self.incarnation, self.health) > (other.incarnation, other.health)
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipPolicy:
-    """The periods of membership.
+    """The timing of pings, suspicions and removals.
 
     Parameters
     ----------
-    period : timedelta
-        Between two pings by one host.
-    suspect_for : timedelta
-        From suspicion to death: time to refute it.
-    forget_after : timedelta
-        How long the dead are remembered, so that old news does not revive them.
+    ping_interval : timedelta
+        Time between two pings by one host.
+    suspicion_timeout : timedelta
+        Time that a suspected member has to refute the suspicion before it is dead.
+    dead_retention : timedelta
+        How long dead and leaving members are remembered, so that old updates do not
+        revive them.
     """
 
     ping_interval: timedelta = timedelta(seconds=0.5)
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """A member, since when it is seen so, and how often that was told."""
+    """A member, the time of its last change, and how often that was sent to peers."""
 
     member: Member
     since: Instant
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True)
 class Membership:
-    """One host's view of its data centre."""
+    """One host's knowledge of the members of its data centre."""
 
     self_member: Member
     policy: MembershipPolicy
@@ -94,7 +95,7 @@
     ping_queue: list[HostId] = field(default_factory=list)
 
     def add_listed(self, members: Iterable[Member], now: Instant) -> None:
-        """Take hosts from the platform's list that were never heard of."""
+        """Add unknown hosts from the platform's list."""
         for member in members:
             if (
                 member.host_id != self.self_member.host_id
@@ -103,7 +104,7 @@
                 self.records[member.host_id] = MemberRecord(member, now)
 
     def next_ping_target(self) -> Member | None:
-        """Return whom to ping now: each known member once in a round, shuffled."""
+        """Return the next member to ping, from a random order of all members."""
         while True:
             if not self.ping_queue:
                 self.ping_queue = sorted(
@@ -112,21 +113,21 @@
                 self.random.shuffle(self.ping_queue)
             if not self.ping_queue:
                 return None
-            known = self.records.get(self.ping_queue.pop())
-            if known is not None and known.member.health < Health.DEAD:
-                return known.member
+            record = self.records.get(self.ping_queue.pop())
+            if record is not None and record.member.health < Health.DEAD:
+                return record.member
 
     def updates_to_send(self) -> tuple[Member, ...]:
-        """Return what to tell with a message: oneself, and the least told news."""
+        """Return the updates for one message: this host and the least sent ones."""
         unsent = [k for k in self.records.values() if k.times_sent < UPDATE_REPEATS]
         unsent.sort(key=lambda k: (k.times_sent, k.member.host_id))
         chosen = unsent[:UPDATES_PER_MESSAGE]
-        for known in chosen:
-            known.times_sent += 1
+        for record in chosen:
+            record.times_sent += 1
         return (self.self_member, *(k.member for k in chosen))
 
     def handle_updates(self, updates: Iterable[Member], now: Instant) -> None:
-        """Take news from a peer."""
+        """Apply the updates that a peer sent."""
         for member in updates:
             if member.host_id == self.self_member.host_id:
                 self.refute_update(member)
@@ -134,52 +135,52 @@
                 self.apply_update(member, now)
 
     def refute_update(self, member: Member) -> None:
-        """Outbid news that this host is not what it is."""
+        """Refute an update about this host by a higher incarnation."""
         if member.overrides(self.self_member):
             self.self_member = replace(
                 self.self_member, incarnation=member.incarnation + 1
             )
 
     def apply_update(self, member: Member, now: Instant) -> None:
-        """Believe later news of a member."""
-        known = self.records.get(member.host_id)
-        if known is None or member.overrides(known.member):
+        """Apply an update of another member if it supersedes the known state."""
+        record = self.records.get(member.host_id)
+        if record is None or member.overrides(record.member):
             self.records[member.host_id] = MemberRecord(member, now)
 
     def record_ping_answer(self, host_id: HostId, now: Instant) -> None:
-        """Take an answer to a ping; its news has revived the member if need be."""
-        known = self.records.get(host_id)
-        if known is not None and known.member.health is Health.SUSPECT:
-            self.set_health(known, Health.ALIVE, now)
+        """Clear a suspicion after a ping answer, whose updates were applied already."""
+        record = self.records.get(host_id)
+        if record is not None and record.member.health is Health.SUSPECT:
+            self.set_health(record, Health.ALIVE, now)
 
     def record_ping_timeout(self, host_id: HostId, now: Instant) -> None:
-        """Take the silence of a pinged member."""
-        known = self.records.get(host_id)
-        if known is not None and known.member.health is Health.ALIVE:
-            self.set_health(known, Health.SUSPECT, now)
+        """Suspect a member that did not answer a ping."""
+        record = self.records.get(host_id)
+        if record is not None and record.member.health is Health.ALIVE:
+            self.set_health(record, Health.SUSPECT, now)
 
     def expire_members(self, now: Instant) -> None:
-        """Let suspicion become death, and forget the long dead."""
-        for host_id, known in list(self.records.items()):
-            age = now - known.since
-            health = known.member.health
+        """Mark members dead whose suspicion timed out, and remove old records."""
+        for host_id, record in list(self.records.items()):
+            age = now - record.since
+            health = record.member.health
             if health is Health.SUSPECT and age >= self.policy.suspicion_timeout:
-                self.set_health(known, Health.DEAD, now)
+                self.set_health(record, Health.DEAD, now)
             elif health >= Health.LEAVING and age >= self.policy.dead_retention:
                 del self.records[host_id]
 
-    def set_health(self, known: MemberRecord, health: Health, now: Instant) -> None:
-        """See a member otherwise from now on."""
-        known.member = replace(known.member, health=health)
-        known.since = now
-        known.times_sent = 0
+    def set_health(self, record: MemberRecord, health: Health, now: Instant) -> None:
+        """Change a member's state and send it to peers again."""
+        record.member = replace(record.member, health=health)
+        record.since = now
+        record.times_sent = 0
 
     def start_leaving(self) -> None:
-        """Tell, from now on, that this host is leaving."""
+        """Announce in all further messages that this host is leaving."""
         self.self_member = replace(self.self_member, health=Health.LEAVING)
 
     def live_members(self) -> tuple[Member, ...]:
-        """Return the members to count on, this host included unless it leaves."""
+        """Return alive and suspected members, with this host unless it is leaving."""
         alive = [
             k.member for k in self.records.values() if k.member.health <= Health.SUSPECT
         ]
--- a/packages/core/src/sardinequay_core/view_join.py
+++ b/packages/core/src/sardinequay_core/view_join.py
@@ -1,17 +1,21 @@
-"""How a guard enters a view: by gathering what earlier guards remember.
+"""State transfer by which a guard joins a view: gathering claims from earlier guards.
 
 A guard votes in a view only after a majority of each earlier view that can hold claims
-has sealed it and told its claims. Which views those are is found by following what the
-answers name: the base a guard last voted in, and later views it heard of.
-
-A guard that restarted starts blank. It waits a window, so that no attempt counts a vote
-of its earlier self any more, then gathers from majorities of the others; if its earlier
-self may have voted in the very view it enters, from a majority of that one, too.
-
-If a majority of a view has provably forgotten (each said so twice around one instant),
-no attempt can win in that view any more, and the claims it may hold are waited out. So
-they are, after a much longer time, when nobody can be found who remembers: a guard
-stops voting when it has not seen itself listed for `ClaimPolicy.lapse`.
+has sealed that view and handed over its claims. The earlier views are discovered from
+the handovers: each names the base view in which its guard last voted, and later views
+that the guard knows.
+
+A restarted guard is blank: it has lost its claims. It waits for
+`ClaimPolicy.vote_window`, after which no attempt counts a vote of its earlier
+incarnation. Then it gathers claims from majorities of the other guards. If an earlier
+incarnation may have voted in the view that it joins, it needs a majority of that view,
+too.
+
+If so many guards of a view are provably blank that no majority can grant (each reported
+so both before and after one instant), no attempt can win in that view any more, and the
+join only waits until the claims of the view have expired. After a much longer time it
+does the same when no guard with memory can be found, because a guard stops voting when
+it was not listed for `ClaimPolicy.listing_timeout`.
 """
 
 from dataclasses import dataclass, field
@@ -24,7 +28,7 @@
 
 
 class GatherStatus(Enum):
-    """How far a view's claims are gathered."""
+    """Whether the claims of a view are gathered."""
 
     INCOMPLETE = "gathering"
     COMPLETE = "gathered"
@@ -33,7 +37,7 @@
 
 @dataclass(slots=True)
 class TimedHandover:
-    """A guard's whole answer, and when it was asked for."""
+    """A guard's complete handover and the time at which it was requested."""
 
     handover: Handover
     asked_at: Instant
@@ -41,7 +45,7 @@
 
 @dataclass(slots=True)
 class BlankPeriod:
-    """That one incarnation of a guard said it is blank: first and last time asked."""
+    """The first and last request to which one incarnation of a guard answered blank."""
 
     incarnation: int
     first_asked_at: Instant
@@ -50,14 +54,14 @@
 
 @dataclass(slots=True)
 class ViewGathering:
-    """What the guards of one view have answered so far."""
+    """The handovers of one view's guards received so far."""
 
     view: View
     answers: dict[HostId, TimedHandover] = field(default_factory=dict)
     blank_periods: dict[HostId, BlankPeriod] = field(default_factory=dict)
 
     def majority_blank_at(self, guard: Guard, now: Instant) -> Instant | None:
-        """Return a time at which too many guards were blank for any majority."""
+        """Return a time at which too few guards had memory for a majority, if any."""
         needed = len(self.view.guards) - self.view.majority + 1
         periods = list(self.blank_periods.values())
         if not guard.has_full_memory and self.view.has_guard(guard.own_host_id):
@@ -72,18 +76,18 @@
 
 
 class ViewJoin:
-    """One guard's way into one view.
+    """The state of one guard's join of one view.
 
     Parameters
     ----------
     guard : Guard
-        The memory to fill.
+        The guard that receives the gathered claims.
     target : View
-        The view to enter; it has the guard among its guards.
+        The view to enter; the guard is one of its guards.
     start : View
-        A view in which some host has voted: the founding one, or what a peer said.
-    not_before : timedelta
-        When this process may vote: a window after its start.
+        A view in which some host has voted: the founding view, or one from a peer.
+    earliest_entry : timedelta
+        When this process may vote: `ClaimPolicy.vote_window` after its start.
     """
 
     def __init__(
@@ -100,13 +104,14 @@
 
     @property
     def policy(self) -> ClaimPolicy:
-        """Return the durations that claims rest on."""
+        """Return the guard's claim policy."""
         return self.guard.policy
 
     def add_view(self, view: View) -> None:
-        """Gather from one more view, if it lies before the target.
+        """Add a view to gather claims from, if it is earlier than the target.
 
-        A blank guard may gather from the target itself, where others vote already.
+        A blank guard also gathers from the target itself, in which other guards may
+        vote already.
         """
         is_target = view.number == self.target.number and not self.guard.has_full_memory
         if view.number < self.target.number or is_target:
@@ -115,7 +120,7 @@
     def pending_requests(
         self, now: Instant
     ) -> list[tuple[GuardAddress, HandoverRequest]]:
-        """Return what to ask now, and whom."""
+        """Return the guards without a recent handover, with the requests to them."""
         pending = []
         for gathering in self.gatherings.values():
             for guard in gathering.view.guards:
@@ -125,18 +130,18 @@
         return pending
 
     def build_request(self, view: View) -> HandoverRequest:
-        """Return the request to a guard of an earlier view."""
+        """Return the handover request for an earlier view."""
         guard = self.guard
         return HandoverRequest(view, self.target, guard.own_host_id, guard.incarnation)
 
     def is_fresh(self, answer: TimedHandover | None, now: Instant) -> bool:
-        """Return whether an answer is young enough to count."""
+        """Return whether a handover is recent enough to count."""
         return answer is not None and now - answer.asked_at <= self.policy.vote_window
 
     def record_handover(
         self, view: View, host_id: HostId, handover: Handover, asked_at: Instant
     ) -> None:
-        """Take a guard's answer; `asked_at` is when its first page was asked for."""
+        """Record a guard's handover, whose first page was requested at `asked_at`."""
         gathering = self.gatherings.get(view.number)
         if gathering is None:
             return
@@ -154,7 +159,7 @@
         incarnation: int,
         asked_at: Instant,
     ) -> None:
-        """Remember since when a guard says that it is blank."""
+        """Record that a guard reported to be blank when asked at `asked_at`."""
         known_period = gathering.blank_periods.get(host_id)
         if known_period is None or known_period.incarnation != incarnation:
             gathering.blank_periods[host_id] = BlankPeriod(
@@ -164,7 +169,7 @@
             known_period.last_asked_at = max(known_period.last_asked_at, asked_at)
 
     def add_named_views(self, handover: Handover) -> None:
-        """Gather from the views that an answer names, too."""
+        """Add the views that a handover names to those to gather from."""
         bases = [handover.base] if handover.base is not None else []
         for view in (*bases, *handover.later_views, *handover.asked_before):
             self.add_view(view)
@@ -172,14 +177,14 @@
         self.own_earlier_views.update(view.number for view in handover.asked_before)
 
     def newer_view(self) -> View | None:
-        """Return a later view than the target, if one was heard of."""
+        """Return the newest known view if it is later than the target."""
         newest = self.guard.newest_known_view()
         if newest is not None and newest.number > self.target.number:
             return newest
         return None
 
     def gather_status(self, gathering: ViewGathering, now: Instant) -> GatherStatus:
-        """Return how far one view's claims are gathered."""
+        """Return whether a view's claims are gathered, expired or incomplete."""
         answers = self.fresh_handovers(gathering, now)
         own = int(
             self.guard.has_full_memory
@@ -192,7 +197,7 @@
         return GatherStatus.INCOMPLETE
 
     def are_claims_expired(self, gathering: ViewGathering, now: Instant) -> bool:
-        """Return whether no attempt can win in a view, and all claims in it are old."""
+        """Return whether no attempt can win in a view and all its claims expired."""
         forgotten = gathering.majority_blank_at(self.guard, now)
         if forgotten is not None and now > forgotten + self.policy.retention:
             return True
@@ -202,22 +207,22 @@
         )
 
     def are_other_guards_expired(self, now: Instant) -> bool:
-        """Return whether guards of any other view have stopped voting long ago."""
+        """Return whether all other guards stopped voting and their claims expired."""
         policy = self.policy
         since = self.guard.listed_since(self.target.guards)
         wait = policy.max_list_lag + policy.listing_timeout + policy.retention
         return since is not None and now > since + wait
 
     def fresh_handovers(self, gathering: ViewGathering, now: Instant) -> list[Handover]:
-        """Return the answers that count."""
+        """Return the handovers of a view that are recent enough to count."""
         answers = gathering.answers.values()
         return [a.handover for a in answers if self.is_fresh(a, now)]
 
     def covers_earlier_views(self, gathering: ViewGathering, now: Instant) -> bool:
-        """Return whether claims from before a view are surely told with its own.
+        """Return whether the handovers of a view include the claims of earlier views.
 
-        They are if one who answered has voted in it or in a later one, since it had
-        gathered all before it.
+        They do if one of the answering guards has voted in this view or a later one:
+        before it voted, it had gathered the claims of all earlier views.
         """
         bases = [h.base for h in self.fresh_handovers(gathering, now)]
         if self.guard.has_full_memory:
@@ -226,7 +231,7 @@
         return any(base is not None and base.number >= number for base in bases)
 
     def is_complete_since(self, start: ViewGathering, now: Instant) -> bool:
-        """Return whether all claims are told by the views from `start` on."""
+        """Return whether the views from `start` on provide all claims."""
         later = [
             g
             for n, g in self.gatherings.items()
@@ -239,7 +244,7 @@
         return is_gathered and self.covers_earlier_views(start, now)
 
     def can_enter(self, now: Instant) -> bool:
-        """Return whether the guard may vote in the target now."""
+        """Return whether the guard may enter the target view at `now`."""
         if now < self.earliest_entry or self.newer_view() is not None:
             return False
         if not self.guard.has_full_memory and self.are_other_guards_expired(now):
@@ -252,7 +257,7 @@
         return any(self.is_complete_since(start, now) for start in starts)
 
     def complete(self) -> None:
-        """Take all claims that were told, and vote in the target from now on."""
+        """Merge all gathered claims into the guard and enter the target view."""
         for gathering in self.gatherings.values():
             for answer in gathering.answers.values():
                 self.guard.merge_records(answer.handover.records, answer.asked_at)
