--- a/packages/core/src/sardinequay_core/engine_orders.py
+++ b/packages/core/src/sardinequay_core/engine_orders.py
@@ -1,4 +1,4 @@
-"""What an engine reports, the orders to it, and the requests that wait for one."""
+"""Engine reports, orders to engines, and the requests that wait for adapters."""
 
 from dataclasses import dataclass, field
 
@@ -6,19 +6,19 @@
 from .names import AdapterRef
 
 LATE_ANSWER_WORTH = 0.3
-"""Worth of a late answer against one on time; about what users give for it."""
+"""Value of a late answer relative to one on time; about what users assign to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """An engine's report of itself, some hundred milliseconds old.
+    """An engine's report of its state, some hundred milliseconds old.
 
     Parameters
     ----------
     orders : int
-        Orders accepted since it started.
+        Number of orders accepted since the engine started.
     incarnation : int
-        When it started, in Unix milliseconds; 0 if it does not say.
+        Start time of the engine, in Unix milliseconds; 0 if it is not reported.
     """
 
     models: frozenset[str]
@@ -40,26 +40,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadAdapter:
-    """Order: load an adapter, its newest version."""
+    """Order: load the newest version of an adapter."""
 
     adapter: AdapterRef
 
 
 @dataclass(frozen=True, slots=True)
 class UnloadAdapter:
-    """Order: drop an adapter."""
+    """Order: unload an adapter."""
 
     adapter: AdapterRef
 
 
 @dataclass(frozen=True, slots=True)
 class AskReport:
-    """Ask the engine for its report."""
+    """Step: request a report from the engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rest:
-    """Nothing to do for a while, in seconds."""
+    """Step: wait for `for_s` seconds."""
 
     for_s: float
 
@@ -75,11 +75,13 @@
     Parameters
     ----------
     worth : float
-        What its answer is worth on time.
+        The value of an answer on time.
     goal_at : timedelta
-        With its adapter there later than this, its answer is late.
+        If the adapter is ready later than this, the answer is late.
     until : timedelta
-        Loading later than this does not help it.
+        If the adapter is loaded later than this, the request gains nothing.
+    since : timedelta
+        When the request started to wait.
     """
 
     worth: float
@@ -90,22 +92,23 @@
 
 @dataclass(slots=True)
 class Wanted:
-    """An adapter that requests wait for, by their tickets."""
+    """The requests that wait for one adapter, by ticket."""
 
     waiters: dict[int, Waiter] = field(default_factory=dict)
 
     def earliest_since(self) -> Instant:
-        """Return since when the longest waits."""
+        """Return the start of the longest wait."""
         return min(w.since for w in self.waiters.values())
 
     def load_value(self, now: Instant, load_s: float) -> float:
-        """Return what loading the adapter now is worth to all who wait.
+        """Return the total value of a load of the adapter now to its waiting requests.
 
         Parameters
         ----------
         load_s : float
-            How long the load takes. An answer that it makes late counts as late: else
-            a request near its goal took the place of one that could still meet it.
+            Duration of the load in seconds. An answer that the load makes late counts
+            with the value of a late one. Otherwise a request close to its goal would
+            displace another request that can still be answered on time.
         """
         ready_at = now + seconds(load_s)
         return sum(
--- a/packages/core/src/sardinequay_core/engine_scheduler.py
+++ b/packages/core/src/sardinequay_core/engine_scheduler.py
@@ -1,10 +1,10 @@
-"""What the host that orders an engine knows of it, and which order comes next.
+"""Scheduling of load and unload orders for one engine, from its reports and orders.
 
-The book counts places from the engine's own report and from the orders that the report
-cannot show yet. An order whose answer was lost may have been accepted, so nothing more
-is ordered until a report shows. Adapters in use are not evicted: the engine refuses
-that, and the adapter asked for least lately makes way first, so that the ones in steady
-demand stay.
+The scheduler counts slots from the engine's report and from orders that the report
+cannot show yet. An order whose answer was lost may have been accepted, so no further
+order is sent until a report shows the result. Adapters in use are not evicted, because
+the engine refuses that. Idle adapters are evicted in ascending order of recent demand,
+so that adapters in steady demand stay loaded.
 """
 
 from collections.abc import Mapping
@@ -28,62 +28,89 @@
 from .names import AdapterRef, TargetId
 
 REPORT_LAG_S = 0.4
-"""How old a report may be. After an order whose fate is open, only a report asked for
-this much later shows it."""
+"""Maximum age of the state in a report, in seconds.
+
+After an order with unknown result, only a report requested at least this much later
+shows the result.
+"""
 
 MAX_CONCURRENT_LOADS = 4
-"""Adapters that may be on their way to one engine at a time; a bound of engines."""
+"""Maximum number of adapters loading on one engine; engines impose this limit."""
 
 LATE_LOAD_RETRY_S = 0.08
-"""Until a request is sent again to an engine whose load took longer than expected."""
+"""Delay before requests are sent again after a load was late, in seconds."""
 
 LATE_LOAD_WINDOW_S = 0.3
-"""An engine that denies an adapter this soon after it was due is still loading it."""
+"""Time after a load was due for which a missing adapter counts as loading.
+
+In seconds; the engine is probably still loading the adapter.
+"""
 
 MAX_LATE_LOAD_S = 1.0
-"""How long an adapter that the engine denies counts as still loading. Then its load is
-in doubt: an engine that started again unnoticed has lost it for good."""
+"""Maximum time for which a missing adapter counts as loading, in seconds.
+
+After that the result of the load is in doubt: an engine that restarted unnoticed has
+lost the adapter.
+"""
 
 LOADED_GRACE_S = 0.1
-"""How long a loaded adapter is kept although no use of it is known yet: those who
-waited for it are on their way, and their uses are told as they begin. Without
-it, two of three refused attempts met an adapter that was dropped as it came."""
+"""Time for which a loaded adapter is kept without any known use, in seconds.
+
+The requests that waited for it are on their way, and their uses are reported only when
+they start. Without this delay, two of three refused attempts were for adapters that had
+been evicted immediately after they were loaded.
+"""
 
 EVICTION_HALF_LIFE = seconds(6)
-"""Half-life of the demand by which adapters stay: popularity shifts within seconds, and
-by recency alone an adapter asked for once displaced those in steady demand."""
+"""Half-life of the demand that ranks adapters for eviction.
+
+Popularity shifts within seconds. Ranked by recency alone, an adapter requested once
+displaced adapters in steady demand.
+"""
 
 USED_GRACE_S = 0.02
-"""The same after an adapter's last known use."""
+"""Time for which an adapter is kept after its last known use, in seconds."""
 
 UNLOAD_RETRY_S = 0.05
-"""Until an unload that met a running request is tried again, in seconds."""
+"""Delay before an unload that was refused because of a use is retried, in seconds."""
 
 REPORT_INTERVAL_S = 10.0
-"""How often an engine is asked although nothing is in doubt, in seconds."""
+"""Interval between reports while nothing is in doubt, in seconds."""
 
 BUSY_REPORT_INTERVAL_S = 0.25
-"""Between reports while an engine loads a base model, which takes it seconds."""
+"""Interval between reports while a model loads or adapters unload, in seconds.
+
+Loading a base model takes an engine seconds.
+"""
 
 DOUBT_REPORT_INTERVAL_S = 0.1
-"""Between reports while something is in doubt; about the lag of reports."""
+"""Interval between reports while a result is in doubt, in seconds.
+
+It is about the delay of reports.
+"""
 
 
 @dataclass(slots=True)
 class EngineScheduler:
-    """The record of one engine.
+    """The known state of one engine, and the choice of its next order.
 
     Parameters
     ----------
-    orders : int or None
-        Orders that the engine has accepted; None while that is in doubt.
-    dropping : set
-        Adapters that the engine drops as soon as their requests have ended; they take
-        places until a report no longer shows them.
-    used_at : dict
-        When each resident adapter was last known to be used.
+    max_adapters : int
+        Number of adapter slots of the engine.
     incarnation : int
-        The start of the engine that the record is of; a later start has another record.
+        The incarnation of the engine; a restarted engine gets a new scheduler.
+    change_number : int
+        Incremented whenever peers must be informed of a change.
+    accepted_orders : int or None
+        Number of orders that the engine has accepted; None while that is in doubt.
+    last_used_at : dict
+        When each resident adapter was last known to be used.
+    loading_until : dict
+        When the load of each loading adapter is expected to complete.
+    unloading : set
+        Adapters that the engine evicts as soon as their requests have ended. They
+        occupy slots until a report no longer shows them.
     """
 
     target: TargetId
@@ -108,41 +135,37 @@
     reported_at: Instant = ZERO
     report_requested_at: Instant = ZERO
 
-    # What others are told.
-
     def open_adapters(self) -> tuple[AdapterRef, ...]:
-        """Return the adapters that take new requests."""
+        """Return the resident adapters that accept new requests."""
         return tuple(a for a in sorted(self.last_used_at) if self.is_open(a))
 
     def increment_change_number(self) -> None:
-        """Note that peers are to be told."""
+        """Mark the state as changed, so that peers are informed."""
         self.change_number += 1
 
-    # What comes in.
-
     def add_waiter(self, adapter: AdapterRef, waiter: Waiter) -> int:
-        """Take a request's wish for an adapter; return its ticket."""
+        """Add a request that waits for an adapter; return its ticket."""
         self.last_ticket += 1
-        wanted = self.load_requests.setdefault(adapter, Wanted())
-        wanted.waiters[self.last_ticket] = waiter
+        request = self.load_requests.setdefault(adapter, Wanted())
+        request.waiters[self.last_ticket] = waiter
         return self.last_ticket
 
     def cancel_waiter(self, adapter: AdapterRef, ticket: int) -> None:
-        """Forget a request that waits no more."""
-        wanted = self.load_requests.get(adapter)
-        if wanted is None:
+        """Remove a request that no longer waits."""
+        request = self.load_requests.get(adapter)
+        if request is None:
             return
-        wanted.waiters.pop(ticket, None)
-        if not wanted.waiters:
+        request.waiters.pop(ticket, None)
+        if not request.waiters:
             del self.load_requests[adapter]
 
     def expected_wait_s(
         self, adapter: AdapterRef, waiter: Waiter, now: Instant
     ) -> float:
-        """Return how long one more request would wait for an adapter, in seconds."""
-        coming_s = self.ready_in_s(adapter, now)
-        if coming_s is not None:
-            return coming_s
+        """Return the expected wait of one more request for an adapter, in seconds."""
+        ready_in_s = self.ready_in_s(adapter, now)
+        if ready_in_s is not None:
+            return ready_in_s
         free = self.max_adapters - len(self.last_used_at) - len(self.loading_until)
         requested = self.load_requests.get(adapter)
         other_waiters = tuple(requested.waiters.values()) if requested else ()
@@ -151,9 +174,9 @@
         )
         loads_ahead = sum(
             1
-            for other, wanted in self.load_requests.items()
+            for other, request in self.load_requests.items()
             if other != adapter
-            and wanted.load_value(now, self.load_times.expected_load_s(other))
+            and request.load_value(now, self.load_times.expected_load_s(other))
             >= own_value
         )
         return (
@@ -162,29 +185,29 @@
         )
 
     def is_ready(self, adapter: AdapterRef) -> bool:
-        """Return whether an adapter takes requests, in this version or a later one."""
+        """Return whether this or a later version of an adapter accepts requests."""
         return any(
-            self.is_open(held) and held.is_at_least(adapter)
-            for held in self.last_used_at
+            self.is_open(resident) and resident.is_at_least(adapter)
+            for resident in self.last_used_at
         )
 
     def is_open(self, adapter: AdapterRef) -> bool:
-        """Return whether an adapter takes new requests."""
+        """Return whether an adapter is not being unloaded, so accepts new requests."""
         return adapter not in self.unloading
 
     def ready_in_s(self, adapter: AdapterRef, now: Instant) -> float | None:
-        """Return when an adapter that is coming is expected."""
-        at = self.loading_until.get(adapter)
-        return None if at is None else max(0.0, (at - now).total_seconds())
+        """Return the expected time until an adapter is ready; None if not loading."""
+        due_at = self.loading_until.get(adapter)
+        return None if due_at is None else max(0.0, (due_at - now).total_seconds())
 
     def record_use_start(self, adapter: AdapterRef, now: Instant) -> None:
-        """Take that a request begins to use an adapter."""
+        """Record that a request starts to use an adapter."""
         self.demand.record_requests(adapter, now)
         self.demand.prune_idle(now)
         self.record_uses({adapter: 1}, now)
 
     def record_uses(self, in_use: Mapping[AdapterRef, int], now: Instant) -> None:
-        """Take which adapters requests use."""
+        """Record which adapters running requests use."""
         for adapter, count in in_use.items():
             if count and adapter in self.last_used_at:
                 self.last_used_at[adapter] = now
@@ -192,30 +215,30 @@
     def apply_report(
         self, status: EngineStatus, asked_at: Instant, now: Instant
     ) -> None:
-        """Take a report asked for at `asked_at`.
+        """Apply a report that was requested at `asked_at`.
 
-        A report that counts fewer orders than were accepted is older than the last of
-        them and says nothing; nor does one that may be older than an open order.
+        A report that counts fewer orders than the engine has accepted is older than the
+        last order and is ignored. So is one that may be older than an order in doubt.
         """
         if status.incarnation < self.incarnation:
             return
         if self.accepted_orders is not None and status.orders < self.accepted_orders:
             return
-        doubt = self.doubt_since
-        if doubt is not None and asked_at - doubt < seconds(REPORT_LAG_S):
+        doubt_since = self.doubt_since
+        if doubt_since is not None and asked_at - doubt_since < seconds(REPORT_LAG_S):
             return
         self.doubt_since = None
-        before = (set(self.last_used_at), set(self.loading_until))
+        previous = (set(self.last_used_at), set(self.loading_until))
         self.accepted_orders = status.orders
         self.reported_at = now
         self.models = set(status.models)
         self.is_busy = status.is_busy
         self.apply_reported_adapters(status, now)
-        if before != (set(self.last_used_at), set(self.loading_until)):
+        if previous != (set(self.last_used_at), set(self.loading_until)):
             self.increment_change_number()
 
     def apply_reported_adapters(self, status: EngineStatus, now: Instant) -> None:
-        """Take the adapters that a report shows."""
+        """Set the resident and loading adapters from a report."""
         for adapter in status.adapters:
             self.last_used_at.setdefault(adapter, now)
             self.record_loaded(adapter, now)
@@ -233,31 +256,35 @@
         self.unloading &= set(self.last_used_at)
 
     def record_loaded(self, adapter: AdapterRef, now: Instant) -> None:
-        """Note that an adapter is on the engine."""
+        """Record that an adapter is resident on the engine."""
         if self.loading_until.pop(adapter, None) is not None:
             self.loaded_at[adapter] = now
         self.load_requests.pop(adapter, None)
         self.load_times.record_recent(adapter)
 
     def complete_due_loads(self, now: Instant) -> None:
-        """Let loads arrive whose time has come; a request then finds out."""
-        for adapter, at in tuple(self.loading_until.items()):
-            if now >= at:
+        """Treat loads that are due as completed, and remove waiters past their limit.
+
+        If the load is late, the next request for the adapter detects that.
+        """
+        for adapter, due_at in tuple(self.loading_until.items()):
+            if now >= due_at:
                 self.last_used_at[adapter] = now
                 self.record_loaded(adapter, now)
                 self.increment_change_number()
-        for adapter, wanted in tuple(self.load_requests.items()):
-            for ticket, waiter in tuple(wanted.waiters.items()):
+        for adapter, request in tuple(self.load_requests.items()):
+            for ticket, waiter in tuple(request.waiters.items()):
                 if now >= waiter.until:
                     self.cancel_waiter(adapter, ticket)
 
     def handle_order_accepted(
         self, order: EngineOrder, holds_already: bool, now: Instant
     ) -> None:
-        """Take that an order was accepted, or held already."""
-        # An engine drops an adapter at once, says that the order holds, and counts it.
-        counts = not holds_already or isinstance(order, UnloadAdapter)
-        if self.accepted_orders is not None and counts:
+        """Record that the engine accepted an order or had fulfilled it already."""
+        # An engine evicts an idle adapter at once and answers that the unload was
+        # fulfilled already, but it counts the order.
+        is_counted = not holds_already or isinstance(order, UnloadAdapter)
+        if self.accepted_orders is not None and is_counted:
             self.accepted_orders += 1
         if isinstance(order, LoadModel):
             self.is_busy = True
@@ -274,15 +301,15 @@
             self.last_used_at[adapter] = now
             self.record_loaded(adapter, now)
         else:
-            takes_s = self.load_times.record_load_start(adapter)
+            load_s = self.load_times.record_load_start(adapter)
             self.late_since.pop(adapter, None)
-            self.loading_until[adapter] = now + seconds(takes_s)
+            self.loading_until[adapter] = now + seconds(load_s)
             self.load_requests.pop(adapter, None)
             self.load_times.record_place_taken(bool(self.load_requests), now)
         self.increment_change_number()
 
     def handle_order_refused(self, order: EngineOrder, now: Instant) -> None:
-        """Take that an order was refused: in use, or the count of orders differs."""
+        """Handle a refusal: the adapter is in use, or the order count differs."""
         if isinstance(order, UnloadAdapter):
             self.unload_refused_at[order.adapter] = now
             self.last_used_at[order.adapter] = now
@@ -290,12 +317,12 @@
             self.mark_in_doubt(now)
 
     def mark_in_doubt(self, now: Instant) -> None:
-        """Take that an order's answer was lost: it may have been accepted."""
+        """Record that an order's answer was lost, so that it may have been accepted."""
         self.accepted_orders = None
         self.doubt_since = now
 
     def handle_adapter_missing(self, adapter: AdapterRef, now: Instant) -> None:
-        """Take that the engine says it does not have an adapter."""
+        """Handle the engine's answer that an adapter is not loaded."""
         if adapter not in self.last_used_at:
             return
         del self.last_used_at[adapter]
@@ -312,19 +339,18 @@
             self.mark_in_doubt(now)
 
     def expected_order_count(self, order: EngineOrder) -> int | None:
-        """Return the count of orders that the engine must show to accept one.
+        """Return the order count that the engine must have to accept an order, or None.
 
-        A load must not meet an engine that another host has filled meanwhile. Dropping
-        an adapter does no harm then, and its refusal is to mean only that it is in use.
+        A load must be refused if another host has loaded adapters on the engine in the
+        meantime. An unload is harmless then, and its refusal should mean only that the
+        adapter is in use, so it requires no count.
         """
         return None if isinstance(order, UnloadAdapter) else self.accepted_orders
 
-    # What comes next.
-
     def next_step(
         self, in_use: Mapping[AdapterRef, int], now: Instant
     ) -> SchedulerStep:
-        """Return the next order, a report to ask for, or how long to rest."""
+        """Return the next order, a report request, or how long to wait."""
         self.complete_due_loads(now)
         self.record_uses(in_use, now)
         if self.accepted_orders is None:
@@ -341,17 +367,17 @@
         return Rest(self.rest_s(now))
 
     def request_report_or_rest(self, period_s: float, now: Instant) -> SchedulerStep:
-        """Ask for a report, not more often than a period."""
-        since = (now - self.report_requested_at).total_seconds()
-        if since >= period_s:
+        """Request a report if the last request is `period_s` ago; wait otherwise."""
+        elapsed_s = (now - self.report_requested_at).total_seconds()
+        if elapsed_s >= period_s:
             self.report_requested_at = now
             return AskReport()
-        return Rest(period_s - since)
+        return Rest(period_s - elapsed_s)
 
     def next_adapter_order(
         self, in_use: Mapping[AdapterRef, int], now: Instant
     ) -> EngineOrder | None:
-        """Return the order that serves the adapter with the most waiting for it."""
+        """Return the order that brings the most valuable requested adapter closer."""
         ranked = sorted(
             self.load_requests.items(),
             key=lambda item: (
@@ -366,9 +392,9 @@
                 continue
             if adapter.name.partition("/")[0] not in self.models:
                 continue
-            old = self.older_version(adapter)
-            if old is not None:
-                return self.unload_order(old, now)
+            older = self.older_version(adapter)
+            if older is not None:
+                return self.unload_order(older, now)
             if len(self.loading_until) >= MAX_CONCURRENT_LOADS:
                 return None
             if len(self.last_used_at) + len(self.loading_until) < self.max_adapters:
@@ -377,21 +403,21 @@
         return None
 
     def older_version(self, adapter: AdapterRef) -> AdapterRef | None:
-        """Return an older version of an adapter, which takes its place."""
-        for held in self.last_used_at:
-            if held.name == adapter.name and not held.is_at_least(adapter):
-                return held
+        """Return a resident older version of an adapter, whose slot it needs."""
+        for resident in self.last_used_at:
+            if resident.name == adapter.name and not resident.is_at_least(adapter):
+                return resident
         return None
 
     def unload_order(self, adapter: AdapterRef, now: Instant) -> EngineOrder | None:
-        """Return the order to drop an adapter, unless it was just refused."""
+        """Return the order to unload an adapter, unless it was just refused."""
         refused_at = self.unload_refused_at.get(adapter)
         if refused_at is not None and now - refused_at < seconds(UNLOAD_RETRY_S):
             return None
         return UnloadAdapter(adapter)
 
     def is_surely_idle(self, adapter: AdapterRef, now: Instant) -> bool:
-        """Return whether no use of an adapter can be under way unknown."""
+        """Return whether an adapter was idle long enough that no use is unreported."""
         arrived_at = self.loaded_at.get(adapter)
         if arrived_at is not None and now - arrived_at < seconds(LOADED_GRACE_S):
             return False
@@ -400,10 +426,10 @@
     def eviction_order(
         self, in_use: Mapping[AdapterRef, int], now: Instant
     ) -> EngineOrder | None:
-        """Return the order that frees a place, if an adapter can go.
+        """Return the order that frees a slot, if an adapter can be evicted.
 
-        What is in use stays open to new requests until it falls idle by itself: closed
-        to them, it stood half empty, and they had it loaded elsewhere.
+        An adapter in use accepts new requests until it becomes idle. When it was closed
+        to them, its batch ran half empty, and the requests caused a load elsewhere.
         """
         idle = [
             a
@@ -423,7 +449,7 @@
     def eviction_rank(
         self, adapter: AdapterRef, now: Instant
     ) -> tuple[float, Instant, AdapterRef]:
-        """Return what adapters are ranked by; the least makes way first."""
+        """Return the sort key for evictions; the lowest is evicted first."""
         return (
             self.demand.decayed_count(adapter, now),
             self.last_used_at[adapter],
@@ -431,10 +457,11 @@
         )
 
     def rest_s(self, now: Instant) -> float:
-        """Return how long nothing can change by itself."""
+        """Return the time until the scheduler must decide again, in seconds."""
         if self.load_requests:
             return UNLOAD_RETRY_S
-        due = [
-            max(0.005, (at - now).total_seconds()) for at in self.loading_until.values()
+        due_in_s = [
+            max(0.005, (due_at - now).total_seconds())
+            for due_at in self.loading_until.values()
         ]
-        return min([1.0, *due])
+        return min([1.0, *due_in_s])
--- a/packages/core/src/sardinequay_core/order_candidate.py
+++ b/packages/core/src/sardinequay_core/order_candidate.py
@@ -1,6 +1,6 @@
-"""A host's claim to the right to order engines: who has voted for it, and how long.
+"""Candidate side of the order lease: counting votes and holding the lease.
 
-The other half of `order_lease`: what a candidate makes of the votes that it gets.
+`order_lease` contains the voter side and the messages.
 """
 
 from collections.abc import Iterable
@@ -13,19 +13,20 @@
 
 @dataclass(slots=True)
 class OrderCandidate:
-    """One host's claim to order the engines of its data centre.
+    """The state of one host as a candidate for its data centre's order lease.
 
     Parameters
     ----------
     held_since : timedelta or None
-        Since when it has held the lease without a gap.
+        Start of the uninterrupted time for which this host has held the lease.
     granted_at : dict
-        When each voter was last asked that gave its vote, while the lease is held.
-    excused : dict
-        Until when voters are not counted that stop, or restarted, while they were bound
-        to this holder. They vote for nobody else before then, so nobody else gains by
-        it. Counted, restarts of three hosts of four, half a second apart, cost the
-        holder its lease, and its data centre 6 s without orders.
+        When each voter that granted its vote was last asked, while the lease is held.
+    uncounted_until : dict
+        Until when voters are not counted that shut down or restarted while their vote
+        was given to this holder. They vote for no other host before then, so no other
+        candidate gains by it. When they were counted, restarts of three of four hosts,
+        half a second apart, cost the holder its lease, and the data centre had no
+        orders for 6 s.
     """
 
     own_host_id: HostId
@@ -43,16 +44,16 @@
     uncounted_until: dict[HostId, Instant] = field(default_factory=dict)
 
     def set_voters(self, voters: Iterable[HostId]) -> None:
-        """Take the hosts of the data centre; those that are gone vote no more."""
+        """Set the hosts of the data centre; votes of removed hosts no longer count."""
         self.voters = frozenset(voters) | {self.own_host_id}
 
     def quorum(self, now: Instant) -> int:
-        """Return how many votes make a majority."""
+        """Return the number of votes that is a majority of the counted voters."""
         counted = [v for v in self.voters if now >= self.uncounted_until.get(v, ZERO)]
         return len(counted) // 2 + 1
 
     def build_ballot(self, data_centre: str, is_return: bool = False) -> Ballot:
-        """Return what to ask voters, with a token above all that are known."""
+        """Return the ballot to send to voters, with a token above all known ones."""
         if not self.is_holder:
             self.token = self.highest_seen_token + 1
             self.is_returning = is_return
@@ -65,7 +66,7 @@
     def record_vote(
         self, voter: HostId, vote: Vote, asked_at: Instant, now: Instant
     ) -> None:
-        """Take one voter's answer to a ballot sent at `asked_at`."""
+        """Record a voter's answer to a ballot that was sent at `asked_at`."""
         self.update_holder(now)
         self.highest_seen_token = max(self.highest_seen_token, vote.highest_token)
         if not vote.granted:
@@ -83,10 +84,11 @@
         self.votes[voter] = (
             asked_at + self.policy.lease_duration - self.policy.safety_margin
         )
-        # While this host has held the lease nobody else has ordered. Voters that
-        # restarted since cannot know that: heeded, each restart stopped orders for 3 s.
-        since = self.held_since
-        is_renewal = since is not None and asked_at >= since
+        # While this host has held the lease, no other host has sent orders. Voters that
+        # restarted since then cannot know that; when their quiet time was used, each
+        # restart of a voter stopped orders for 3 s.
+        held_since = self.held_since
+        is_renewal = held_since is not None and asked_at >= held_since
         if not is_renewal and vote.quiet_s < self.policy.quiet_period.total_seconds():
             wait = self.policy.quiet_period - seconds(vote.quiet_s)
             self.may_order_from = max(self.may_order_from, now + wait)
@@ -95,7 +97,7 @@
     def stop_counting_if_restarted(
         self, voter: HostId, vote: Vote, asked_at: Instant, now: Instant
     ) -> None:
-        """Do not count a voter that restarted while its vote was this holder's."""
+        """Stop counting a voter that restarted while this holder had its vote."""
         if voter == self.own_host_id:
             self.stop_counting_self(vote, asked_at)
         granted_at = self.granted_at.get(voter)
@@ -109,26 +111,27 @@
             self.uncounted_until[voter] = asked_at + seconds(vote.abstains_s)
 
     def count_valid_votes(self, now: Instant) -> int:
-        """Return the votes that have not run out."""
+        """Return the number of current voters' votes that have not expired."""
         return sum(
             1 for v, until in self.votes.items() if v in self.voters and now < until
         )
 
     def stop_counting_self(self, vote: Vote, asked_at: Instant) -> None:
-        """Do without the own vote, which this host forgot, if it returns as the holder.
+        """Stop counting this host's own lost vote if it returns as the holder.
 
-        The votes that it had are proof that it was, and that nobody has been since: a
-        majority of the others suffices, as whoever else had its vote lacks as many of
-        theirs. Without that proof, its vote is what keeps it quiet after others.
+        The votes that it still has from others prove that it was the holder and that no
+        other host has been since. A majority of the others suffices, because another
+        host that had this host's vote would lack as many of theirs. Without that proof,
+        the own vote is needed to enforce the quiet period after other holders.
         """
         self.uncounted_until.pop(self.own_host_id, None)
         if self.is_returning and vote.abstains_s > 0:
             self.uncounted_until[self.own_host_id] = asked_at + seconds(vote.abstains_s)
 
     def update_holder(self, now: Instant) -> None:
-        """Become the holder, or stop being it."""
+        """Become the holder on a majority of votes, or drop the lease without one."""
         has_majority = self.count_valid_votes(now) >= self.quorum(now)
-        # A token that voters know a higher one of is asked for once more, higher.
+        # If a voter knows a higher token, a ballot with a higher one is needed first.
         is_highest = self.highest_seen_token < self.token
         if has_majority and is_highest and not self.is_holder:
             self.is_holder = True
@@ -138,35 +141,37 @@
             self.highest_seen_token = max(self.highest_seen_token, self.token)
 
     def drop_lease(self) -> None:
-        """Hold the lease no more."""
+        """Drop the lease and the state that applies only while it is held."""
         self.is_holder = False
         self.held_since = None
         self.granted_at.clear()
         self.uncounted_until.clear()
 
     def needs_higher_token(self, now: Instant) -> bool:
-        """Return whether only a higher token is missing to hold the lease."""
+        """Return whether there is a majority and only the token is too low."""
         return not self.is_holder and self.count_valid_votes(now) >= self.quorum(now)
 
     def can_order(self, now: Instant) -> bool:
-        """Return whether an order may be sent at this very moment."""
+        """Return whether an order may be sent at `now`."""
         self.update_holder(now)
         return self.is_holder and now >= self.may_order_from
 
     def record_order(self, now: Instant) -> None:
-        """Note that an order was sent."""
+        """Record that an order was sent."""
         self.last_order_at = now
 
     def raise_refused_token(self) -> None:
-        """Take a higher token after an engine refused the one held as too old."""
+        """Raise the token after an engine rejected the current one as outdated."""
         self.token += TOKENS_PER_TICK
 
     def resign_lease(self, data_centre: str, now: Instant) -> Resign | None:
-        """Stop being the holder, for good."""
+        """Give up the lease for good; return the message to voters if it was held."""
         if not self.is_holder:
             return None
         self.drop_lease()
         self.votes.clear()
-        last = self.last_order_at
-        age_s = (now - last).total_seconds() if last is not None else None
+        last_order_at = self.last_order_at
+        age_s = (
+            (now - last_order_at).total_seconds() if last_order_at is not None else None
+        )
         return Resign(self.own_host_id, data_centre, age_s)
--- a/packages/core/src/sardinequay_core/order_lease.py
+++ b/packages/core/src/sardinequay_core/order_lease.py
@@ -1,13 +1,14 @@
-"""Which host may give orders to the engines of a data centre.
+"""The order lease: the majority-voted right to send orders to a data centre's engines.
 
-The hosts of a data centre lend one of them the right to order, for a short time and by
-majority. Two majorities meet, so at most one host holds the right. A voter forgets its
-vote when it restarts, so it does not vote until every vote it may have given has run
-out. All times are read from clocks that count suspension: a host that was frozen finds
-its lease expired before it does anything with it.
+The hosts of a data centre grant the lease to one of them, for a short time and by a
+majority of votes. Any two majorities overlap, so at most one host holds the lease. A
+restarted voter has lost its vote; it does not vote until each vote that it may have
+given has expired. All times are read from monotonic clocks that include suspension: a
+suspended host finds its lease expired before it can use it.
 
-Engines that do not check fencing tokens must not hear two hosts within `quiet` of one
-another, so a new holder waits until the last order of the one before is that old.
+Engines that do not check fencing tokens must not receive orders from two hosts within
+`OrderPolicy.quiet_period`. A new holder therefore waits until the last order of the
+previous holder is that old.
 """
 
 from dataclasses import dataclass, field
@@ -18,40 +19,44 @@
 
 NO_HOST = HostId("")
 TOKENS_PER_TICK = 16
-"""Room for successions within a tenth of a second; each takes longer than a lease."""
+"""Tokens reserved per tick for changes of the holder; each outlasts a lease."""
 
 TICKS_PER_S = 10
 TICKS_PER_REVISION = 1 << 28
-"""Room for ten months of moments at one revision, so that tokens of a later one are
-higher whatever clocks say. Tokens fit in 64 bits for two billion revisions."""
+"""Ticks reserved per revision: ten months of 0.1 s.
+
+Tokens of a later revision are therefore higher regardless of clock errors. Tokens fit
+in 64 bits for two billion revisions.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderPolicy:
-    """The times of the lease.
+    """The timing of the order lease.
 
     Parameters
     ----------
-    lease : timedelta
-        How long a vote lasts at the voter, from when it was given. Short, since nobody
-        orders while a dead holder's votes run out; several renewals long, since a lost
-        renewal must not end it.
-    margin : timedelta
-        How much earlier a holder stops than its votes run out: what an order may spend
-        on its way, and what clocks may drift in a lease.
-    quiet : timedelta
-        How old the last order of another host must be; from the deployment.
-    remember : timedelta
-        How long a silent host counts among the voters. Longer than any cut that must
-        be survived safely, since a cut-off host looks like a dead one.
-    waits : timedelta
-        How long a voter, once it may vote again, waits for the holder that asked it
-        before: more than the time between two renewals, so that the holder lacks no
-        vote between them.
-    returns : timedelta
-        How long voters keep their votes for a holder that has stopped: a process that
-        is restarted is back after about half of it, and a successor has to be quiet
-        longer.
+    lease_duration : timedelta
+        How long a vote lasts at the voter after it was given. It is short because no
+        orders are sent until the votes of a dead holder expire. It spans several
+        renewals because a lost renewal must not end the lease.
+    safety_margin : timedelta
+        How long before its votes expire a holder stops sending orders. It covers the
+        transit time of an order and the clock drift during a lease.
+    quiet_period : timedelta
+        Minimum age of the last order of another host; given by the deployment.
+    member_retention : timedelta
+        How long an unreachable host counts as a voter. It exceeds any network
+        partition that must be survived safely, because a partitioned host looks like
+        a dead one.
+    former_holder_wait : timedelta
+        How long a voter that may vote again reserves its vote for the holder that
+        asked for it while it abstained. It exceeds the time between two renewals, so
+        that the holder keeps a majority in between.
+    restart_grace : timedelta
+        How long voters keep their votes for a holder that has stopped. A restarted
+        process is back after about half of this time, and a successor would have to
+        wait longer for the quiet period.
     """
 
     lease_duration: timedelta = timedelta(seconds=1.0)
@@ -64,15 +69,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Ballot:
-    """Asks for a vote, or for a vote to be renewed.
+    """Message: a request for a vote or its renewal.
 
     Parameters
     ----------
     is_return : bool
-        Whether the candidate has just started, and asks only for votes that it had as
-        the holder and that have not run out since.
+        Whether the candidate was just restarted and requests only votes that it had as
+        the holder and that have not expired yet.
     is_holder : bool
-        Whether the candidate holds the lease and asks for votes to be renewed.
+        Whether the candidate holds the lease and requests a renewal of its votes.
     """
 
     candidate: HostId
@@ -84,21 +89,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The answer to a ballot.
+    """Message: the answer to a ballot.
 
     Parameters
     ----------
     highest_token : int
-        The highest token of any other holder that this voter knows of.
+        The highest known fencing token of any other holder.
     quiet_s : float
-        How long ago, at least, another holder that this voter knows of may have given
-        its last order; infinite if there was none.
+        Minimum time since another holder known to this voter may have sent its last
+        order, in seconds; infinite if there was no other holder.
     abstains_s : float
-        For how long the voter still abstains since it restarted, in seconds.
+        Remaining time for which the restarted voter abstains, in seconds.
     up_s : float
-        How long ago the voter started, in seconds.
+        Time since the voter started, in seconds.
     is_leaving : bool
-        Whether the voter stops, and votes for nobody else until then.
+        Whether the voter is shutting down; it then votes for no other host.
     """
 
     granted: bool
@@ -112,12 +117,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """Tells voters that a holder stops, and how old its last order is, if it gave any.
+    """Message: a holder stops; the age of its last order is None if it sent none.
 
-    Voters keep what they know of the holders before it, whose last orders count too.
-    They keep their votes for it a while: if it is only restarted it goes on at once,
-    where another host must wait until its orders are old. In rolls of hosts each change
-    of the holder cost a data centre 3.1 s without orders.
+    Voters keep their records of earlier holders, whose last orders count, too. They
+    keep their votes for the stopped holder for a while. If it is only restarting it can
+    then continue at once, while another host must wait for the quiet period: in rolling
+    restarts, each change of the holder left a data centre without orders for 3.1 s.
     """
 
     holder: HostId
@@ -126,32 +131,33 @@
 
 
 def upper_token_bound(revision: int, wall_s: float) -> int:
-    """Return a bound on tokens that were given until a revision and a time of day."""
+    """Return an upper bound on tokens used up to a store revision and a wall time."""
     tick = int(wall_s * TICKS_PER_S) % TICKS_PER_REVISION
     return ((revision + 1) * TICKS_PER_REVISION + tick) * TOKENS_PER_TICK
 
 
 @dataclass(slots=True)
 class Voter:
-    """One host's vote.
+    """The state of one host as a voter.
 
     Parameters
     ----------
-    knows_tokens : bool
-        Whether tokens that were given before this host started are bounded yet. It does
-        not vote before: it may have voted for one of them and forgotten it.
+    are_old_tokens_bounded : bool
+        Whether an upper bound is known for the tokens used before this host started.
+        Until then it does not vote, because it may have voted for one of these tokens
+        and lost that vote in a restart.
     quiet_since : dict
-        Since when each earlier holder has given no order; `NOBODY` stands for those
-        that were forgotten.
-    asked_by : HostId
-        The holder that asked for the vote while this host abstained.
-    was_held : bool
+        Time since which each earlier holder has sent no order; `NO_HOST` stands for
+        holders that were lost in a restart.
+    renewing_holder : HostId
+        The holder that asked for a renewal while this host abstained.
+    was_lease_held : bool
         Whether the host that has the vote held the lease when it last asked.
-    has_stopped : bool
-        Whether the holder has said that it stops, so that it gives no orders.
+    has_holder_stopped : bool
+        Whether the holder announced that it stops and sends no more orders.
     is_leaving : bool
-        Whether this host stops. It then renews the vote that it has given, and gives no
-        other, so that its holder knows whom it was bound to at its end.
+        Whether this host is shutting down. It then only renews the vote that it has
+        given, so that the holder knows that this vote was its own at the end.
     """
 
     policy: OrderPolicy
@@ -168,12 +174,12 @@
     was_lease_held: bool = False
 
     def __post_init__(self) -> None:
-        """Count a holder that may be forgotten as ordering while votes for it last."""
+        """Assume that an unknown holder sends orders until its votes have expired."""
         if not self.are_old_tokens_bounded:
             self.quiet_since[NO_HOST] = self.abstains_until
 
     def handle_ballot(self, ballot: Ballot, now: Instant) -> Vote:
-        """Give the vote, unless another host holds it or may hold it."""
+        """Reply to a ballot; grant the vote unless another host has it or may have it."""
         is_renewal = self.holder == ballot.candidate
         is_free = is_renewal or (now >= self.vote_until and not self.is_leaving)
         if ballot.is_return:
@@ -191,14 +197,14 @@
             self.was_lease_held = self.was_lease_held or ballot.is_holder
             self.has_holder_stopped = False
             self.vote_until = now + self.policy.lease_duration
-        others = self.highest_of_others(ballot)
+        highest_other_token = self.highest_of_others(ballot)
         if granted and ballot.token > self.highest_token:
             self.highest_token = ballot.token
             self.highest_token_holder = ballot.candidate
         return Vote(
             granted,
             self.holder,
-            others,
+            highest_other_token,
             self.quiet_s(now, ballot),
             max(0.0, (self.committed_until(ballot) - now).total_seconds()),
             (now - self.abstains_until + self.policy.lease_duration).total_seconds(),
@@ -206,36 +212,41 @@
         )
 
     def committed_until(self, ballot: Ballot) -> Instant:
-        """Return until when nobody but the candidate can get this host's vote."""
-        waits = self.renewing_holder == ballot.candidate != NO_HOST
-        return self.abstains_until + (self.policy.former_holder_wait if waits else ZERO)
+        """Return until when no host but the candidate can get this host's vote."""
+        is_reserved = self.renewing_holder == ballot.candidate != NO_HOST
+        return self.abstains_until + (
+            self.policy.former_holder_wait if is_reserved else ZERO
+        )
 
     def can_vote_for(self, ballot: Ballot, now: Instant) -> bool:
-        """Return whether this host abstains no more, or not from this candidate."""
+        """Return whether this host no longer abstains with regard to this candidate."""
         if self.renewing_holder in (NO_HOST, ballot.candidate):
             return now >= self.abstains_until
         return now >= self.abstains_until + self.policy.former_holder_wait
 
     def highest_of_others(self, ballot: Ballot) -> int:
-        """Return the highest token that may be another holder's."""
+        """Return the highest known token that may belong to another holder."""
         is_own = self.highest_token_holder == ballot.candidate
         if is_own and self.highest_token == ballot.token:
             return ballot.token - 1
         return self.highest_token
 
     def record_revision(self, revision: int, wall_s: float) -> None:
-        """Take a revision of the store that this host has seen since it started.
+        """Derive the bound on old tokens from a revision of the store.
 
-        Tokens grow from the revision and the time of day that voters saw when they
-        started. Orders change what engines publish, so revisions rise, but only with
-        the engines' next entries: two voters that forgot all, seconds apart, may see
-        one revision. Then the time of day parts them. It may be seconds wrong; the
-        second one's holder waits `quiet` and a lease, which is longer.
+        Tokens are derived from the store revision and the wall time that voters read
+        after their start. Orders change the entries that engines publish and so raise
+        the revision, but only with the next entry. Two voters that restart seconds
+        apart can therefore read the same revision; the wall time then separates their
+        bounds. It may be wrong by seconds, which is safe because the holder elected by
+        the second voter waits for the quiet period and a lease, which is longer.
 
         Parameters
         ----------
+        revision : int
+            A revision of the store read after this host started.
         wall_s : float
-            The time of day, in Unix seconds.
+            The wall time, in Unix seconds.
         """
         if self.are_old_tokens_bounded:
             return
@@ -245,32 +256,37 @@
         )
 
     def record_previous_holder(self) -> None:
-        """Remember a holder whose vote ran out: it may have ordered until then."""
+        """Record that the last holder may have sent orders until its vote expired."""
         if self.holder and not self.has_holder_stopped:
             self.record_quiet_since(self.holder, self.vote_until)
         self.has_holder_stopped = False
 
     def record_quiet_since(self, holder: HostId, since: Instant) -> None:
-        """Remember since when a holder has given no order."""
+        """Record the time since which a holder has sent no order."""
         self.quiet_since[holder] = max(since, self.quiet_since.get(holder, since))
 
     def quiet_s(self, now: Instant, ballot: Ballot) -> float:
-        """Return for how long all other holders were quiet, in seconds."""
-        others = [at for h, at in self.quiet_since.items() if h != ballot.candidate]
-        if not others:
+        """Return the time for which no other holder has sent orders, in seconds."""
+        last_orders = [
+            ordered_at
+            for holder, ordered_at in self.quiet_since.items()
+            if holder != ballot.candidate
+        ]
+        if not last_orders:
             return float("inf")
-        return max(0.0, (now - max(others)).total_seconds())
+        return max(0.0, (now - max(last_orders)).total_seconds())
 
     def is_vote_given_elsewhere(self, own_host: HostId, now: Instant) -> bool:
-        """Return whether the vote is given to another host than the voter's own."""
+        """Return whether the vote is given to a host other than `own_host`."""
         return self.holder not in (NO_HOST, own_host) and now < self.vote_until
 
     def withdraw_own_vote(
         self, own_host: HostId, last_order_at: Instant | None, now: Instant
     ) -> None:
-        """Take back the vote that a host gave itself without winning.
+        """Withdraw the vote that this host gave itself without winning the lease.
 
-        It may have held the lease until now, and nobody else may remember that.
+        This host may have held the lease until now, and no other voter may know its
+        last order, so that is recorded here.
         """
         if last_order_at is not None:
             self.record_quiet_since(own_host, last_order_at)
@@ -279,7 +295,7 @@
             self.vote_until = now
 
     def handle_resign(self, message: Resign, now: Instant) -> None:
-        """Keep the vote for a holder that stops only while it may come back."""
+        """Keep the vote for a stopped holder only for the restart grace period."""
         if self.holder != message.holder:
             return
         if message.last_order_age_s is not None:
