--- a/packages/core/src/sardinequay_core/repeat_budget.py
+++ b/packages/core/src/sardinequay_core/repeat_budget.py
@@ -8,9 +8,10 @@
 
 The bound also holds for arrivals while hosts crash and the fleet is partitioned. A host
 that has restarted knows neither what it sent before nor which hosts are alive on the
-other side of a partition, so it has no part of the slack until both are over. Hosts
-divide the slack by all hosts that were alive recently, not by those in contact. And a
-repeat counts from when it is permitted until a window after it has arrived.
+other side of a partition, so it has no part of the slack until its earlier repeats have
+left the window and a partition has ended. Hosts divide the slack by all hosts that were
+alive recently, not by those in contact. And a repeat counts from when it is permitted
+until a window after it has arrived.
 """
 
 from collections import deque
--- a/packages/core/src/sardinequay_core/target_choice.py
+++ b/packages/core/src/sardinequay_core/target_choice.py
@@ -164,8 +164,8 @@
         requests calls for.
     """
 
-    any_resident: bool
-    any_recent: bool
+    has_resident: bool
+    has_recent: bool
     is_below_desired: bool = False
 
 
@@ -205,10 +205,10 @@
     if option.adapter_state in (AdapterState.RESIDENT, AdapterState.COMING):
         return 0.0
     if option.adapter_state is AdapterState.RECENT:
-        return EXTRA_WARM_COPY_COST_S if copies.any_resident else 0.0
+        return EXTRA_WARM_COPY_COST_S if copies.has_resident else 0.0
     if copies.is_below_desired:
         return DESIRED_COPY_COST_S + option.home_rank * HOME_RANK_COST_S
-    if copies.any_resident or copies.any_recent:
+    if copies.has_resident or copies.has_recent:
         return EXTRA_COPY_COST_S
     return option.home_rank * HOME_RANK_COST_S
 
--- a/packages/core/tests/conftest.py
+++ b/packages/core/tests/conftest.py
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def keeper(policy: KeeperPolicy, engine: Target, x_use: AdapterUse) -> Keeper:
-    """A keeper of one engine with two slots that holds x and is confirmed."""
+    """Return a keeper whose one engine has two slots and a confirmed load of x."""
     made = Keeper(policy, 7, START)
     made.set_targets([engine])
     made.handle_report(make_report(), START, START)
@@ -67,7 +67,7 @@
 def make_report(
     *names: str, token: int = 0, incarnation: str = "1", in_use: tuple[str, ...] = ()
 ) -> EngineReport:
-    """An engine's report that names its resident adapters."""
+    """Return an engine's report with the given resident adapters."""
     return EngineReport(
         TargetId("engine"),
         incarnation,
--- a/packages/core/tests/test_load_view.py
+++ b/packages/core/tests/test_load_view.py
@@ -72,7 +72,7 @@
     return LoadView(has_fleet_pace=True), views
 
 
-def exchange(hub: LoadView, hosts: list[LoadView], now) -> None:
+def exchange_digests(hub: LoadView, hosts: list[LoadView], now) -> None:
     """Send each host's shares to the hub, and the sum of all others back."""
     for number, host in enumerate(hosts):
         hub.apply_peer_shares(HostId(f"h{number}"), host.own_shares(now), now)
@@ -89,7 +89,7 @@
     nominal_s = hosts[0].nominal_read_s(E, 1800, NOW)
     for host in hosts[:4]:
         host.record_pace(E, nominal_s, 0.02 + slow * nominal_s, NOW)
-    exchange(hub, hosts, NOW)
+    exchange_digests(hub, hosts, NOW)
     paces = [host.engine_pace(E, NOW) for host in hosts]
     if slow == 1.0:
         assert paces == pytest.approx([1.0] * 40, abs=0.1)
@@ -105,12 +105,12 @@
     later = NOW + seconds(6)
     for host in hosts[6:8]:
         host.record_pace(E, nominal_s, 0.02 + nominal_s, later)
-    exchange(hub, hosts, later)
+    exchange_digests(hub, hosts, later)
     assert max(host.engine_pace(E, later) for host in hosts) < 1.8
 
 
 def test_single_outlier_changes_the_pace_little() -> None:
     hub, hosts = make_fleet(3)
     hosts[0].record_pace(E, 0.01, 0.05, NOW)
-    exchange(hub, hosts, NOW)
+    exchange_digests(hub, hosts, NOW)
     assert hosts[1].engine_pace(E, NOW) < 1.3
--- a/packages/core/tests/test_shared_outcomes.py
+++ b/packages/core/tests/test_shared_outcomes.py
@@ -12,7 +12,7 @@
 OTHERS = tuple(TargetId(t) for t in "uvw")
 
 
-def hosts(count: int) -> list[TargetHealth]:
+def make_hosts(count: int) -> list[TargetHealth]:
     return [TargetHealth(trial_turn=i / count, host_count=count) for i in range(count)]
 
 
@@ -27,7 +27,7 @@
 
 def test_target_that_fails_at_a_few_hosts_is_excluded_by_all() -> None:
     """A target fails requests of five of sixty hosts, and the others get reports."""
-    fleet = hosts(60)
+    fleet = make_hosts(60)
     for host in fleet[:5]:
         host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
@@ -37,7 +37,7 @@
 
 
 def test_successes_at_other_hosts_count_once_failures_are_reported() -> None:
-    fleet = hosts(20)
+    fleet = make_hosts(20)
     for host in fleet:
         host.record_result(T, AttemptResult.SUCCEEDED, NOW, NOW)
     for host in fleet[:3]:
@@ -48,7 +48,7 @@
 
 
 def test_failures_at_one_host_exclude_no_target_at_others() -> None:
-    fleet = hosts(5)
+    fleet = make_hosts(5)
     for _ in range(8):
         fleet[0].record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
@@ -62,7 +62,7 @@
 
 
 def test_hosts_try_an_excluded_target_in_turn() -> None:
-    fleet = hosts(10)
+    fleet = make_hosts(10)
     for host in fleet[:4]:
         host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
@@ -79,7 +79,7 @@
 
 
 def test_failures_decay() -> None:
-    fleet = hosts(4)
+    fleet = make_hosts(4)
     for host in fleet:
         host.record_result(T, AttemptResult.FAILED, NOW, NOW)
     gossip(fleet)
