--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -58,7 +58,10 @@
 
 
 class GuardTask:
-    """Owns this host's claims as a guard, by the data centre that they belong to."""
+    """Owns this host's state as a guard: one `GuardDuty` for each data centre.
+
+    A duty holds the claims on keys of its data centre, and the view being joined.
+    """
 
     def __init__(
         self,
--- a/packages/daemon/tests/test_order_task.py
+++ b/packages/daemon/tests/test_order_task.py
@@ -40,8 +40,8 @@
 from sardinequay_daemon.serving_metrics import ServingMetrics
 from sardinequay_daemon.serving_ports import OrderAccepted
 
-E = TargetId("e")
-A = AdapterRef("m/a", "1")
+ENGINE_ID = TargetId("e")
+ADAPTER = AdapterRef("m/a", "1")
 FIRST_INCARNATION, SECOND_INCARNATION = 1_000, 2_000
 """Times at which the engine started and restarted, in Unix milliseconds."""
 
@@ -88,7 +88,9 @@
 
 def published_engine(incarnation: int) -> PublishedTarget:
     address = Address("127.0.0.1", 1)
-    target = Target(E, PoolName("p"), TargetKind.ENGINE, DataCentre("za"), address)
+    target = Target(
+        ENGINE_ID, PoolName("p"), TargetKind.ENGINE, DataCentre("za"), address
+    )
     return PublishedTarget(
         target, 64, incarnation, frozenset({"m"}), incarnation=incarnation
     )
@@ -98,7 +100,9 @@
     engines = EnginePool(64, 1000, 0.0, 2, 1.0, (ServedModel("m", 1.0, 9, 1.0),))
     pool = TargetPool(PoolName("p"), 0, engines)
     config = make_serving_config(1, (), (pool,), CallerLimits())
-    return Catalogue(incarnation, config, targets={E: published_engine(incarnation)})
+    return Catalogue(
+        incarnation, config, targets={ENGINE_ID: published_engine(incarnation)}
+    )
 
 
 @pytest.fixture
@@ -121,11 +125,11 @@
     )
     task.catalogue = catalogue(FIRST_INCARNATION)
     task.is_ordering = True
-    scheduler = EngineScheduler(E, 2, FIRST_INCARNATION)
+    scheduler = EngineScheduler(ENGINE_ID, 2, FIRST_INCARNATION)
     scheduler.apply_report(
-        status_holding(FIRST_INCARNATION, A), clock.monotonic(), clock.monotonic()
+        status_holding(FIRST_INCARNATION, ADAPTER), clock.monotonic(), clock.monotonic()
     )
-    task.managed_engines[E] = ManagedEngine(
+    task.managed_engines[ENGINE_ID] = ManagedEngine(
         published_engine(FIRST_INCARNATION), scheduler
     )
     return task
@@ -134,9 +138,9 @@
 def test_listing_of_a_later_incarnation_resets_the_scheduler(
     task: OrderTask, clock
 ) -> None:
-    number = task.managed_engines[E].scheduler.change_number
+    number = task.managed_engines[ENGINE_ID].scheduler.change_number
     task.apply_catalogue(catalogue(SECOND_INCARNATION))
-    scheduler = task.managed_engines[E].scheduler
+    scheduler = task.managed_engines[ENGINE_ID].scheduler
     assert scheduler.incarnation == SECOND_INCARNATION
     assert not scheduler.open_adapters()
     assert scheduler.accepted_orders is None
@@ -144,24 +148,24 @@
 
 
 def test_listing_of_an_earlier_incarnation_changes_nothing(task: OrderTask) -> None:
-    task.managed_engines[E].scheduler.incarnation = SECOND_INCARNATION
+    task.managed_engines[ENGINE_ID].scheduler.incarnation = SECOND_INCARNATION
     task.apply_catalogue(catalogue(FIRST_INCARNATION))
-    assert task.managed_engines[E].scheduler.open_adapters() == (A,)
+    assert task.managed_engines[ENGINE_ID].scheduler.open_adapters() == (ADAPTER,)
 
 
 async def test_report_of_a_later_incarnation_resets_the_scheduler(
     task: OrderTask, engines
 ) -> None:
     engines.status = status_holding(SECOND_INCARNATION)
-    await task.request_report(task.managed_engines[E])
-    assert task.managed_engines[E].scheduler.incarnation == SECOND_INCARNATION
-    assert not task.managed_engines[E].scheduler.open_adapters()
+    await task.request_report(task.managed_engines[ENGINE_ID])
+    assert task.managed_engines[ENGINE_ID].scheduler.incarnation == SECOND_INCARNATION
+    assert not task.managed_engines[ENGINE_ID].scheduler.open_adapters()
 
 
 async def test_reply_to_an_order_of_the_previous_incarnation_is_ignored(
     task: OrderTask, engines
 ) -> None:
-    engine = task.managed_engines[E]
+    engine = task.managed_engines[ENGINE_ID]
     sending = asyncio.create_task(
         task.send_order(engine, LoadAdapter(AdapterRef("m/b", "1")))
     )
@@ -176,23 +180,27 @@
 async def test_missing_adapter_report_of_the_previous_incarnation_is_ignored(
     task: OrderTask,
 ) -> None:
-    scheduler = task.managed_engines[E].scheduler
+    scheduler = task.managed_engines[ENGINE_ID].scheduler
     later = replace(
         published_engine(SECOND_INCARNATION), incarnation=SECOND_INCARNATION
     )
-    task.reset_scheduler(task.managed_engines[E], later)
-    scheduler = task.managed_engines[E].scheduler
+    task.reset_scheduler(task.managed_engines[ENGINE_ID], later)
+    scheduler = task.managed_engines[ENGINE_ID].scheduler
     now = task.clock.monotonic() + seconds(9)
-    scheduler.apply_report(status_holding(SECOND_INCARNATION, A), now, now)
-    await task.handle_adapter_event(AdapterMissing(E, A, FIRST_INCARNATION))
-    assert scheduler.open_adapters() == (A,)
-    await task.handle_adapter_event(AdapterMissing(E, A, SECOND_INCARNATION))
+    scheduler.apply_report(status_holding(SECOND_INCARNATION, ADAPTER), now, now)
+    await task.handle_adapter_event(
+        AdapterMissing(ENGINE_ID, ADAPTER, FIRST_INCARNATION)
+    )
+    assert scheduler.open_adapters() == (ADAPTER,)
+    await task.handle_adapter_event(
+        AdapterMissing(ENGINE_ID, ADAPTER, SECOND_INCARNATION)
+    )
     assert scheduler.open_adapters() == ()
 
 
 def test_recent_holdings_are_cached_for_many_hosts(task: OrderTask, clock) -> None:
     first = task.recent_holdings()
-    assert first[0].adapters == (A,)
+    assert first[0].adapters == (ADAPTER,)
     assert task.recent_holdings() is first
     clock.advance(0.06)
     assert task.recent_holdings() is not first
--- a/packages/daemon/tests/test_tls.py
+++ b/packages/daemon/tests/test_tls.py
@@ -27,20 +27,20 @@
     """Create a self-signed certificate, which is its own authority."""
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     key = ec.generate_private_key(ec.SECP256R1())
-    start = datetime.now(UTC) - timedelta(days=1)
-    made = (
+    valid_from = datetime.now(UTC) - timedelta(days=1)
+    certificate = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(start)
-        .not_valid_after(start + timedelta(days=30))
+        .not_valid_before(valid_from)
+        .not_valid_after(valid_from + timedelta(days=30))
         .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
         .sign(key, hashes.SHA256())
     )
     files = directory / f"{name}.pem", directory / f"{name}.key"
-    files[0].write_bytes(made.public_bytes(serialization.Encoding.PEM))
+    files[0].write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
     files[1].write_bytes(
         key.private_bytes(
             serialization.Encoding.PEM,
@@ -60,7 +60,7 @@
 
     server.register(FetchRoot, answer)
     context = server_context(make_certificate(tmp_path, "ours"))
-    listener = await server.start(Address(IP, 0), context)
+    listener = await server.valid_from(Address(IP, 0), context)
     yield Address(IP, listener.sockets[0].getsockname()[1])
     listener.close()
     server.close()
