--- a/packages/daemon/tests/test_tls.py
+++ b/packages/daemon/tests/test_tls.py
@@ -60,7 +60,7 @@
 
     server.register(FetchRoot, answer)
     context = server_context(make_certificate(tmp_path, "ours"))
-    listener = await server.valid_from(Address(IP, 0), context)
+    listener = await server.start(Address(IP, 0), context)
     yield Address(IP, listener.sockets[0].getsockname()[1])
     listener.close()
     server.close()
