--- a/packages/daemon/tests/test_bounded_log.py
+++ b/packages/daemon/tests/test_bounded_log.py
@@ -30,9 +30,9 @@
 
 @pytest.fixture
 def output(clock: ManualClock, pipe) -> NonBlockingLogHandler:
-    made = NonBlockingLogHandler(clock, pipe[1])
-    made.setFormatter(JsonFormatter(FIELDS, rename_fields=RENAMED_FIELDS))
-    return made
+    handler = NonBlockingLogHandler(clock, pipe[1])
+    handler.setFormatter(JsonFormatter(FIELDS, rename_fields=RENAMED_FIELDS))
+    return handler
 
 
 def line(text: str, level: int = logging.INFO, **fields) -> logging.LogRecord:
@@ -98,8 +98,8 @@
 
 def test_closed_reader_raises_no_error(clock: ManualClock) -> None:
     reading, writing = os.pipe()
-    made = NonBlockingLogHandler(clock, writing)
+    handler = NonBlockingLogHandler(clock, writing)
     os.close(reading)
-    made.emit(line("x"))
-    assert not made.pending_lines
+    handler.emit(line("x"))
+    assert not handler.pending_lines
     os.close(writing)
--- a/packages/daemon/tests/test_fleet_task.py
+++ b/packages/daemon/tests/test_fleet_task.py
@@ -20,7 +20,7 @@
 
 
 def digest(name: str, data_centre: str = "za", **more) -> Digest:
-    made = Digest(
+    default_digest = Digest(
         host=Contact(HostId(name), data_centre, f"127.0.0.1:{10 + int(name[1:])}"),
         is_leaving=False,
         contacts=(),
@@ -34,7 +34,7 @@
         news_revision=1,
         store_age_s=0.2,
     )
-    return replace(made, **more)
+    return replace(default_digest, **more)
 
 
 @pytest.fixture
--- a/packages/daemon/tests/test_peers.py
+++ b/packages/daemon/tests/test_peers.py
@@ -20,35 +20,35 @@
 
 @pytest.fixture
 async def server(metrics: Metrics) -> AsyncIterator[tuple[PeerServer, Address]]:
-    made = PeerServer(metrics)
-    listener = await made.start(Address(IP, 0))
+    peer_server = PeerServer(metrics)
+    listener = await peer_server.start(Address(IP, 0))
     port = listener.sockets[0].getsockname()[1]
-    yield made, Address(IP, port)
+    yield peer_server, Address(IP, port)
     listener.close()
-    made.close()
+    peer_server.close()
 
 
 @pytest.fixture
 async def client(metrics: Metrics, timing: TimingSettings) -> AsyncIterator[PeerClient]:
-    made = PeerClient(timing, metrics, IP)
-    yield made
-    made.close()
+    peer_client = PeerClient(timing, metrics, IP)
+    yield peer_client
+    peer_client.close()
 
 
 async def test_call_is_answered(server, client: PeerClient) -> None:
-    made, address = server
+    peer_server, address = server
 
     async def answer(_: FetchRoot) -> RootReply:
         return RootReply(b"root")
 
-    made.register(FetchRoot, answer)
+    peer_server.register(FetchRoot, answer)
     assert await client.call(address, FetchRoot()) == Success(RootReply(b"root"))
 
 
 async def test_delayed_replies_complete_their_own_calls(
     server, client: PeerClient
 ) -> None:
-    made, address = server
+    peer_server, address = server
     delays = iter((0.2, 0.1, 0.0))
 
     async def answer(_: FetchRoot) -> RootReply:
@@ -56,7 +56,7 @@
         await asyncio.sleep(delay)
         return RootReply(str(delay).encode())
 
-    made.register(FetchRoot, answer)
+    peer_server.register(FetchRoot, answer)
     calls = [client.call(address, FetchRoot()) for _ in range(3)]
     answers = [a.unwrap().data for a in await asyncio.gather(*calls)]
     assert answers == [b"0.2", b"0.1", b"0.0"]
@@ -76,13 +76,13 @@
 async def test_long_call_to_a_live_host_does_not_time_out(
     server, client: PeerClient, timing: TimingSettings
 ) -> None:
-    made, address = server
+    peer_server, address = server
 
     async def answer(_: FetchRoot) -> RootReply:
         await asyncio.sleep(timing.silence_s * 3)
         return RootReply(b"late")
 
-    made.register(FetchRoot, answer)
+    peer_server.register(FetchRoot, answer)
     assert isinstance(await client.call(address, FetchRoot(), 30), Success)
 
 
@@ -110,12 +110,12 @@
 async def test_invalid_bytes_close_only_their_own_connection(
     server, client: PeerClient
 ) -> None:
-    made, address = server
+    peer_server, address = server
 
     async def answer(_: FetchRoot) -> RootReply:
         return RootReply(b"root")
 
-    made.register(FetchRoot, answer)
+    peer_server.register(FetchRoot, answer)
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(b"GET / HTTP/1.1\r\n\r\n")
     assert await reader.read() == b""
@@ -130,7 +130,7 @@
     The stream stores the reset as an exception, which the event loop logs as never
     retrieved unless the server waits for the connection to close.
     """
-    made, address = server
+    peer_server, address = server
     errors: list[dict[str, object]] = []
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(lambda _, context: errors.append(context))
@@ -138,16 +138,16 @@
     async def answer(_: FetchRoot) -> RootReply:
         return RootReply(b"root")
 
-    made.register(FetchRoot, answer)
+    peer_server.register(FetchRoot, answer)
     await client.call(address, FetchRoot())
     link = client.links[address]
-    (connection,) = made.connections
+    (connection,) = peer_server.connections
     protocol = connection.writer.transport.get_protocol()
     link_socket = link.writer.get_extra_info("socket")
     link_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     link.writer.transport.abort()
     async with asyncio.timeout(5):
-        while made.connections:
+        while peer_server.connections:
             await asyncio.sleep(0.01)
     close_future = protocol._closed
     del protocol, connection
@@ -164,16 +164,16 @@
 
     At the start of many hosts, most pairs exchange digests once and then never again.
     """
-    made, address = server
+    peer_server, address = server
 
     async def answer(_: FetchRoot) -> RootReply:
         return RootReply(b"root")
 
-    made.register(FetchRoot, answer)
+    peer_server.register(FetchRoot, answer)
     client = PeerClient(timing, metrics, IP, idle_s=0.05)
     await client.call(address, FetchRoot())
     async with asyncio.timeout(5):
-        while client.links or made.connections:
+        while client.links or peer_server.connections:
             await asyncio.sleep(0.01)
     assert isinstance(await client.call(address, FetchRoot()), Success)
     client.close()
--- a/packages/daemon/tests/test_rollout_task.py
+++ b/packages/daemon/tests/test_rollout_task.py
@@ -72,11 +72,11 @@
     service: FakeService, timing: TimingSettings, metrics: Metrics, clock
 ) -> RolloutTask:
     peers = PeerClient(timing, metrics, "127.0.0.1")
-    made = RolloutTask(
+    rollout_task = RolloutTask(
         TRUST, service, peers, timing, metrics, Journal(clock), clock, lambda: True
     )
-    made.rollout.confirmation = Confirmation.PEERS
-    return made
+    rollout_task.rollout.confirmation = Confirmation.PEERS
+    return rollout_task
 
 
 async def in_force(task: RolloutTask, version: int) -> None:
--- a/packages/daemon/tests/test_store_task.py
+++ b/packages/daemon/tests/test_store_task.py
@@ -65,8 +65,8 @@
             return published(found.value.decode(), found.revision)
         if found.value == b"spoiled":
             raise PlatformError("config", "spoiled")
-        made = make_serving_config(int(found.value), (), (), CallerLimits())
-        return ConfigPublished(made)
+        config = make_serving_config(int(found.value), (), (), CallerLimits())
+        return ConfigPublished(config)
 
 
 @pytest.fixture
