--- a/packages/core/src/sardinequay_core/bundle_lint.py
+++ b/packages/core/src/sardinequay_core/bundle_lint.py
@@ -65,10 +65,12 @@
     """Yield findings for token digests and priorities of callers."""
     for caller in contents.base.callers:
         where = f"callers.{caller.name}"
-        digits = caller.token_sha256
-        if len(digits) != TOKEN_DIGITS or set(digits) - set("0123456789abcdef"):
+        token_digest = caller.token_sha256
+        if len(token_digest) != TOKEN_DIGITS or set(token_digest) - set(
+            "0123456789abcdef"
+        ):
             allowed = f"{TOKEN_DIGITS} lower-case hexadecimal digits"
-            yield Finding(f"{where}.token_sha256", repr(digits[:80]), allowed)
+            yield Finding(f"{where}.token_sha256", repr(token_digest[:80]), allowed)
         if not 0 <= caller.max_priority <= MAX_PRIORITY:
             value = str(caller.max_priority)
             yield Finding(f"{where}.max_priority", value, f"0 to {MAX_PRIORITY}")
--- a/packages/core/src/sardinequay_core/claims.py
+++ b/packages/core/src/sardinequay_core/claims.py
@@ -308,8 +308,10 @@
 
     def prune_attempts(self, attempts: dict[AttemptId, Claim], now: Instant) -> None:
         """Remove expired claims of one key."""
-        life = self.policy.retention
-        for attempt in [a for a, c in attempts.items() if now - c.granted_at > life]:
+        retention = self.policy.retention
+        for attempt in [
+            a for a, c in attempts.items() if now - c.granted_at > retention
+        ]:
             del attempts[attempt]
 
     def expire_claims(self, now: Instant) -> None:
--- a/packages/core/src/sardinequay_core/guard_duty.py
+++ b/packages/core/src/sardinequay_core/guard_duty.py
@@ -71,8 +71,8 @@
         if self.joining is not None and self.joining.target.number >= newest.number:
             return
         window_end = guard.started_at + guard.policy.vote_window
-        not_before = now if guard.has_full_memory else window_end
-        self.joining = ViewJoin(guard, newest, self.founding_view, not_before)
+        earliest_entry = now if guard.has_full_memory else window_end
+        self.joining = ViewJoin(guard, newest, self.founding_view, earliest_entry)
 
     def pending_requests(
         self, now: Instant
--- a/packages/core/src/sardinequay_core/view_join.py
+++ b/packages/core/src/sardinequay_core/view_join.py
@@ -124,8 +124,8 @@
         pending = []
         for gathering in self.gatherings.values():
             for guard in gathering.view.guards:
-                is_fresh = self.is_fresh(gathering.answers.get(guard.host_id), now)
-                if guard.host_id != self.guard.own_host_id and not is_fresh:
+                is_recent = self.is_recent(gathering.answers.get(guard.host_id), now)
+                if guard.host_id != self.guard.own_host_id and not is_recent:
                     pending.append((guard, self.build_request(gathering.view)))
         return pending
 
@@ -134,7 +134,7 @@
         guard = self.guard
         return HandoverRequest(view, self.target, guard.own_host_id, guard.incarnation)
 
-    def is_fresh(self, answer: TimedHandover | None, now: Instant) -> bool:
+    def is_recent(self, answer: TimedHandover | None, now: Instant) -> bool:
         """Return whether a handover is recent enough to count."""
         return answer is not None and now - answer.asked_at <= self.policy.vote_window
 
@@ -185,12 +185,12 @@
 
     def gather_status(self, gathering: ViewGathering, now: Instant) -> GatherStatus:
         """Return whether a view's claims are gathered, expired or incomplete."""
-        answers = self.fresh_handovers(gathering, now)
-        own = int(
+        handovers = self.recent_handovers(gathering, now)
+        own_count = int(
             self.guard.has_full_memory
             and gathering.view.has_guard(self.guard.own_host_id)
         )
-        if len(answers) + own >= gathering.view.majority:
+        if len(handovers) + own_count >= gathering.view.majority:
             return GatherStatus.COMPLETE
         if self.are_claims_expired(gathering, now):
             return GatherStatus.EXPIRED
@@ -198,8 +198,8 @@
 
     def are_claims_expired(self, gathering: ViewGathering, now: Instant) -> bool:
         """Return whether no attempt can win in a view and all its claims expired."""
-        forgotten = gathering.majority_blank_at(self.guard, now)
-        if forgotten is not None and now > forgotten + self.policy.retention:
+        blank_at = gathering.majority_blank_at(self.guard, now)
+        if blank_at is not None and now > blank_at + self.policy.retention:
             return True
         return (
             gathering.view.guards != self.target.guards
@@ -213,10 +213,12 @@
         wait = policy.max_list_lag + policy.listing_timeout + policy.retention
         return since is not None and now > since + wait
 
-    def fresh_handovers(self, gathering: ViewGathering, now: Instant) -> list[Handover]:
+    def recent_handovers(
+        self, gathering: ViewGathering, now: Instant
+    ) -> list[Handover]:
         """Return the handovers of a view that are recent enough to count."""
         answers = gathering.answers.values()
-        return [a.handover for a in answers if self.is_fresh(a, now)]
+        return [a.handover for a in answers if self.is_recent(a, now)]
 
     def covers_earlier_views(self, gathering: ViewGathering, now: Instant) -> bool:
         """Return whether the handovers of a view include the claims of earlier views.
@@ -224,7 +226,7 @@
         They do if one of the answering guards has voted in this view or a later one:
         before it voted, it had gathered the claims of all earlier views.
         """
-        bases = [h.base for h in self.fresh_handovers(gathering, now)]
+        bases = [h.base for h in self.recent_handovers(gathering, now)]
         if self.guard.has_full_memory:
             bases.append(self.guard.base_view)
         number = gathering.view.number
@@ -232,14 +234,14 @@
 
     def is_complete_since(self, start: ViewGathering, now: Instant) -> bool:
         """Return whether the views from `start` on provide all claims."""
-        later = [
+        required = [
             g
             for n, g in self.gatherings.items()
             if n >= start.view.number
             and (n < self.target.number or n in self.own_earlier_views)
         ]
         is_gathered = all(
-            self.gather_status(g, now) is not GatherStatus.INCOMPLETE for g in later
+            self.gather_status(g, now) is not GatherStatus.INCOMPLETE for g in required
         )
         return is_gathered and self.covers_earlier_views(start, now)
 
--- a/packages/core/src/sardinequay_core/views.py
+++ b/packages/core/src/sardinequay_core/views.py
@@ -57,12 +57,16 @@
     name, so that replacing one host changes at most one guard.
     """
     hosts = {h.host_id: h for h in roster.entry_hosts if h.presence is Presence.LIVE}
-    chosen = first_ranked_hosts(hosts, data_centre, GUARDS_PER_DATA_CENTRE)
+    chosen_hosts = first_ranked_hosts(hosts, data_centre, GUARDS_PER_DATA_CENTRE)
     for neighbour in other_data_centres(hosts, data_centre):
-        if len(chosen) >= MIN_GUARDS:
+        if len(chosen_hosts) >= MIN_GUARDS:
             break
-        chosen += first_ranked_hosts(hosts, neighbour, MIN_GUARDS - len(chosen))
-    guards = tuple(sorted(GuardAddress(h.host_id, h.peer_address) for h in chosen))
+        chosen_hosts += first_ranked_hosts(
+            hosts, neighbour, MIN_GUARDS - len(chosen_hosts)
+        )
+    guards = tuple(
+        sorted(GuardAddress(h.host_id, h.peer_address) for h in chosen_hosts)
+    )
     return View(data_centre, roster.number, guards)
 
 
--- a/packages/core/tests/test_catalogue.py
+++ b/packages/core/tests/test_catalogue.py
@@ -70,16 +70,16 @@
 
 
 def test_entry_removed_during_a_store_failure_is_kept_for_a_time(catalogue) -> None:
-    kept = apply_change(TargetRemoved(TargetId("a")), catalogue, KEEP_FOR_2_S)
-    assert kept.live_targets(PoolName("pool"))
-    assert expire_unconfirmed(kept, NOW + seconds(1.9)).targets
-    assert not expire_unconfirmed(kept, NOW + seconds(2)).targets
+    removed = apply_change(TargetRemoved(TargetId("a")), catalogue, KEEP_FOR_2_S)
+    assert removed.live_targets(PoolName("pool"))
+    assert expire_unconfirmed(removed, NOW + seconds(1.9)).targets
+    assert not expire_unconfirmed(removed, NOW + seconds(2)).targets
 
 
 def test_reappeared_entry_is_not_expired(catalogue: Catalogue) -> None:
-    kept = apply_change(TargetRemoved(TargetId("a")), catalogue, KEEP_FOR_2_S)
-    back = apply_change(published("a", 9), kept, KEEP_FOR_2_S)
-    assert expire_unconfirmed(back, NOW + seconds(60)).targets
+    removed = apply_change(TargetRemoved(TargetId("a")), catalogue, KEEP_FOR_2_S)
+    reappeared = apply_change(published("a", 9), removed, KEEP_FOR_2_S)
+    assert expire_unconfirmed(reappeared, NOW + seconds(60)).targets
 
 
 def test_leaving_target_removed_during_a_store_failure_is_dropped() -> None:
--- a/packages/core/tests/test_order_lease.py
+++ b/packages/core/tests/test_order_lease.py
@@ -252,9 +252,9 @@
 def test_two_candidates_that_voted_for_themselves_do_not_block_each_other(
     world: World,
 ) -> None:
-    first, second, gone = HOSTS
-    world.cut = {frozenset(pair) for pair in ((first, second), (first, gone))}
-    world.cut.add(frozenset((second, gone)))
+    first, second, third = HOSTS
+    world.cut = {frozenset(pair) for pair in ((first, second), (first, third))}
+    world.cut.add(frozenset((second, third)))
     world.request_votes(first)
     world.request_votes(second)
     world.cut.discard(frozenset((first, second)))
--- a/packages/core/tests/test_views.py
+++ b/packages/core/tests/test_views.py
@@ -42,8 +42,8 @@
 
 def test_replacing_one_host_changes_one_guard_at_most() -> None:
     before = roster({A: 8})
-    for gone in before.entry_hosts:
-        rest = tuple(h for h in before.entry_hosts if h != gone)
+    for removed in before.entry_hosts:
+        rest = tuple(h for h in before.entry_hosts if h != removed)
         after = Roster(2, (*rest, host("new", A)))
         old, new = build_view(before, A), build_view(after, A)
         assert len(set(old.guards) - set(new.guards)) <= 1
