--- a/packages/daemon/src/sardinequay_daemon/engine_client.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -199,7 +199,7 @@
             raise TargetError(TargetFault.BROKEN, error.detail) from error
 
     def stream_timeout(self) -> aiohttp.ClientTimeout:
-        """Return the timeouts of a stream; engines send keep-alives between tokens."""
+        """Return the timeouts of a stream; engines send keepalives between tokens."""
         return aiohttp.ClientTimeout(
             total=None, sock_connect=self.silence_s, sock_read=self.silence_s
         )
--- a/packages/daemon/src/sardinequay_daemon/hub_table.py
+++ b/packages/daemon/src/sardinequay_daemon/hub_table.py
@@ -211,8 +211,8 @@
     def record_hub_removals(self, hosts: Iterable[HostId]) -> None:
         """Record that the hub no longer reports some hosts as live.
 
-        They still count as voters for as long as a host whose own digests to this host
-        ended.
+        They stay in the table, and so among the voters, for as long after this report
+        as hosts whose own digests have stopped.
         """
         now = self.clock.monotonic()
         for host_id in hosts:
--- a/packages/daemon/src/sardinequay_daemon/load_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/load_requests.py
@@ -54,7 +54,10 @@
         return WantReply(False, f"no answer: {answer}")
 
     def report_use(self, target: TargetId, adapter: AdapterRef, count: int) -> None:
-        """Report an adapter that came into use or fell idle; skip counts above one."""
+        """Report an adapter that came into use or fell idle.
+
+        Counts above one are not sent: the adapter stays in use.
+        """
         orders = self.state.orders
         if orders is None or count > 1:
             return
--- a/packages/daemon/src/sardinequay_daemon/peer_table.py
+++ b/packages/daemon/src/sardinequay_daemon/peer_table.py
@@ -29,8 +29,9 @@
 
 SILENCE_TIMEOUT_S = 1.2
 SILENCE_TIMEOUT_PERIODS = 3
-"""A peer counts as live for `SILENCE_TIMEOUT_S`, and for this many periods if those are
-longer than in a small fleet: a broken connection may lose a few digests."""
+"""A peer counts as live for `SILENCE_TIMEOUT_S` after its last digest, plus this many
+times the part of the digest period above `DIGEST_PERIOD_S`: a broken connection may
+lose a few digests."""
 
 ASSUME_ALONE_AFTER = seconds(10)
 """A host that no peer has answered for so long since its start takes itself to be the
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -439,7 +439,10 @@
         await self.orders.resign()
 
     def has_open_connections(self) -> bool:
-        """Return whether connections of callers are still open."""
+        """Return whether connections of callers are still open.
+
+        While this host stops, its listener closes each one once it is idle.
+        """
         return bool(self.server.connections)
 
     async def close(self) -> None:
--- a/packages/daemon/src/sardinequay_daemon/serving_messages.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_messages.py
@@ -258,8 +258,8 @@
 class UseChanged:
     """Reports to the host that orders an engine that an adapter became idle or used.
 
-    It is sent at once, because a slot that is idle without the orderer's knowledge
-    cannot be used for another adapter.
+    It is sent at once, because that host cannot use a slot for another adapter before
+    it knows that the slot is idle.
     """
 
     host_id: HostId
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -28,7 +28,7 @@
 REEVALUATE_AFTER_S = 0.4
 """How long a request waits for a load on one engine before all engines are compared
 again, in seconds: slightly longer than a load takes. Bound to the engine chosen first,
-a request would wait for an adapter place there while other engines have free ones."""
+a request would wait for an adapter slot there while other engines have free ones."""
 
 MAX_FAILED_LOAD_REQUESTS = 4
 """Load requests that may fail before the caller's request is refused."""
