--- a/packages/daemon/src/sardinequay_daemon/engine_client.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -132,8 +132,9 @@
     ) -> Result[None, TargetError]:
         """Send a load or eviction order with its fencing token.
 
-        The token rises with each order and keeper; engines refuse a lower one than they
-        have seen, so that a replaced keeper cannot order them any more.
+        The token rises with each order and keeper. An engine that checks tokens refuses
+        one below the highest that it has seen, so that a replaced keeper cannot order
+        it any more.
         """
         body = {
             "adapter": use.adapter.name,
