--- a/packages/daemon/src/sardinequay_daemon/engine_client.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -132,8 +132,9 @@
     ) -> Result[None, TargetError]:
         """Send a load or eviction order with its fencing token.
 
-        The token rises with each order and keeper; engines refuse a lower one than they
-        have seen, so that a replaced keeper cannot order them any more.
+        The token rises with each order and keeper. An engine that checks tokens refuses
+        one below the highest that it has seen, so that a replaced keeper cannot order
+        it any more.
         """
         body = {
             "adapter": use.adapter.name,
@@ -199,7 +200,7 @@
             raise TargetError(TargetFault.BROKEN, error.detail) from error
 
     def stream_timeout(self) -> aiohttp.ClientTimeout:
-        """Return the timeouts of a stream; engines send keep-alives between tokens."""
+        """Return the timeouts of a stream; engines send keepalives between tokens."""
         return aiohttp.ClientTimeout(
             total=None, sock_connect=self.silence_s, sock_read=self.silence_s
         )
