--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -234,7 +234,7 @@
         if error.fault is TargetFault.NOT_SENT:
             end = AttemptEnd.NOT_SENT
             self.record_result(AttemptResult.UNREACHABLE)
-        elif error.fault is TargetFault.LOST_ON_KEPT:
+        elif error.fault is TargetFault.LOST_ON_REUSED_CONNECTION:
             # Targets may close idle connections at any time, so that the loss of one
             # does not count against the target's health.
             end = AttemptEnd.LOST_ON_REUSED_CONNECTION
@@ -247,7 +247,7 @@
             extra={
                 "request": exchange.terms.request_id,
                 "target": self.target_id,
-                "content": exchange.guarded_run.content,
+                "content": exchange.guarded_request.content,
                 "end": end.value,
                 "detail": error.detail,
                 "sent_for_s": round(self.elapsed_s(), 4),
--- a/packages/daemon/src/sardinequay_daemon/caller_requests.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_requests.py
@@ -18,7 +18,7 @@
 from sardinequay_core.names import AdapterRef, RequestId, parse_adapter_ref
 from sardinequay_core.outcome import Reason, Refusal, not_run_refusal
 
-from .guarded_run import GuardedRun
+from .guarded_request import GuardedRequest
 from .settings import LimitSettings
 
 KEY_HEADER = "Idempotency-Key"
@@ -61,12 +61,12 @@
     stream: bool
 
 
-def make_guarded_run(
+def make_guarded_request(
     envelope: RequestEnvelope, method: str, path: str, body: bytes
-) -> GuardedRun:
+) -> GuardedRequest:
     """Return the record of a request for the content guard."""
     content = content_id(method, "", path, envelope.caller.name, body)
-    return GuardedRun(envelope.request_id, content)
+    return GuardedRequest(envelope.request_id, content)
 
 
 def new_request_id(headers: Mapping[str, str]) -> RequestId:
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -33,7 +33,7 @@
     PermitReply,
 )
 from .content_updates import apply_content_update, content_update
-from .guarded_run import GuardedRun
+from .guarded_request import GuardedRequest
 from .peers import PeerClient
 from .progress import RequestRefusedError, answer_lost_refusal
 from .target_end_detector import InterruptedRequest, TargetEndDetector
@@ -116,20 +116,20 @@
         self.run_numbers = itertools.count()
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    def refuse_if_held(self, run: GuardedRun) -> None:
+    def refuse_if_held(self, request: GuardedRequest) -> None:
         """Refuse a request whose content is quarantined."""
         now = self.clock.monotonic()
-        remaining = self.quarantine.remaining_hold(run.content, now)
+        remaining = self.quarantine.remaining_hold(request.content, now)
         if not remaining:
             return
-        if run.may_have_run:
+        if request.may_have_run:
             raise RequestRefusedError(answer_lost_refusal())
-        ends = self.quarantine.ends_of(run.content)
+        ends = self.quarantine.ends_of(request.content)
         age_s = (now - ends[-1].at).total_seconds()
         text = f"{len(ends)} targets ended under such requests, one {age_s:.1f} s ago"
         raise RequestRefusedError(not_run_refusal(Reason.QUARANTINED, text, remaining))
 
-    async def may_run(self, run: GuardedRun) -> bool:
+    async def may_run(self, request: GuardedRequest) -> bool:
         """Return whether a request may run now; after False, choose its target again.
 
         Raises
@@ -137,28 +137,30 @@
         RequestRefusedError
             If other runs of its content held the permit for too long.
         """
-        content = run.content
-        if not self.quarantine.is_suspect(content) or run.permit:
+        content = request.content
+        if not self.quarantine.is_suspect(content) or request.permit:
             return True
         permit = f"{self.me}/{next(self.run_numbers)}"
         if await self.is_permitted(permit, content):
-            run.permit = permit
+            request.permit = permit
             # The issuer's reply may have reported an end that quarantines the content.
             return not self.quarantine.remaining_hold(content, self.clock.monotonic())
-        run.permit_waits += 1
-        if run.permit_waits * PERMIT_POLL_S > MAX_PERMIT_WAIT_S:
-            raise RequestRefusedError(self.not_permitted_refusal(run))
+        request.permit_waits += 1
+        if request.permit_waits * PERMIT_POLL_S > MAX_PERMIT_WAIT_S:
+            raise RequestRefusedError(self.not_permitted_refusal(request))
         await asyncio.sleep(PERMIT_POLL_S)
         return False
 
-    def not_permitted_refusal(self, run: GuardedRun) -> Refusal:
+    def not_permitted_refusal(self, request: GuardedRequest) -> Refusal:
         """Return the refusal of a request that got no permit in time."""
-        if run.may_have_run:
+        if request.may_have_run:
             return answer_lost_refusal()
         text = "a target ended under a request like it, and another like it runs now"
         return not_run_refusal(Reason.QUARANTINED, text, PERMIT_RETRY)
 
-    async def wait_for_end_check(self, run: GuardedRun, within_s: float) -> bool:
+    async def wait_for_end_check(
+        self, request: GuardedRequest, within_s: float
+    ) -> bool:
         """Wait until the probe of a request's last target is complete.
 
         Returns
@@ -166,21 +168,21 @@
         bool
             Whether the target is known to be alive, or no probe was started.
         """
-        check, run.target_end_check = run.target_end_check, None
+        check, request.target_end_check = request.target_end_check, None
         if check is None:
             return True
-        known, _ = await asyncio.wait((check,), timeout=max(0.0, within_s))
-        return bool(known) and not check.result()
+        done, _ = await asyncio.wait((check,), timeout=max(0.0, within_s))
+        return bool(done) and not check.result()
 
     def handle_broken_connection(
-        self, run: GuardedRun, target: Target, incarnation: int, ran_s: float
+        self, request: GuardedRequest, target: Target, incarnation: int, ran_s: float
     ) -> None:
         """Start the probe of a target at which a request's connection broke."""
         now = self.clock.monotonic()
         interrupted = InterruptedRequest(
-            run.request_id, run.content, target, incarnation, ran_s, now
+            request.request_id, request.content, target, incarnation, ran_s, now
         )
-        run.target_end_check = self.start_task(self.check_target_end(interrupted))
+        request.target_end_check = self.start_task(self.check_target_end(interrupted))
 
     async def check_target_end(self, interrupted: InterruptedRequest) -> bool:
         """Probe whether a target ended, and record the end against the content."""
@@ -219,10 +221,10 @@
             self.fleet.announce_content(content, is_own=True)
         return is_known
 
-    def release_permit(self, run: GuardedRun) -> None:
+    def release_permit(self, request: GuardedRequest) -> None:
         """Return a request's permit in the background, once its probe is complete."""
-        if run.permit:
-            self.start_task(self.return_permit(run))
+        if request.permit:
+            self.start_task(self.return_permit(request))
 
     def permit_issuer(self, content: ContentId) -> HostId:
         """Return the host that issues a content's permits, the same on all hosts."""
@@ -254,11 +256,11 @@
         ) and self.permits.grant(content, request.run, now)
         return PermitReply(is_granted, content_update(self.quarantine, content, now))
 
-    async def return_permit(self, run: GuardedRun) -> None:
+    async def return_permit(self, request: GuardedRequest) -> None:
         """Return a permit to its issuer, with this host's observations."""
-        if run.target_end_check is not None:
-            await asyncio.wait((run.target_end_check,))
-        content, permit = run.content, run.permit
+        if request.target_end_check is not None:
+            await asyncio.wait((request.target_end_check,))
+        content, permit = request.content, request.permit
         self.permits.release(content, permit)
         issuer = self.permit_issuer(content)
         address = self.fleet.address_of(issuer)
@@ -275,13 +277,13 @@
 
     def apply_updates(self, contents: Iterable[ContentNews]) -> None:
         """Apply a peer's observations of contents."""
-        for news in contents:
-            self.apply_update(news)
+        for update in contents:
+            self.apply_update(update)
 
-    def apply_update(self, news: ContentNews) -> None:
+    def apply_update(self, update: ContentNews) -> None:
         """Apply a peer's observations of a content."""
-        if apply_content_update(self.quarantine, news, self.clock.monotonic()):
-            self.publish_change(news.content, is_own=False)
+        if apply_content_update(self.quarantine, update, self.clock.monotonic()):
+            self.publish_change(update.content, is_own=False)
 
     def publish_change(self, content: ContentId, is_own: bool) -> None:
         """Announce a changed content to other hosts; log it if it is quarantined."""
--- a/packages/daemon/src/sardinequay_daemon/content_updates.py
+++ b/packages/daemon/src/sardinequay_daemon/content_updates.py
@@ -19,26 +19,28 @@
     quarantine: Quarantine, content: ContentId, now: Instant
 ) -> ContentNews:
     """Return this host's observations of a content, for a message."""
-    known = quarantine.suspicions.get(content)
-    if known is None:
+    suspicion = quarantine.suspicions.get(content)
+    if suspicion is None:
         return ContentNews(content, ())
-    ends = tuple(EndSeen(e.target, e.incarnation, age_s(e.at, now)) for e in known.ends)
-    cleared_at = known.cleared_at
+    ends = tuple(
+        EndSeen(e.target, e.incarnation, age_s(e.at, now)) for e in suspicion.ends
+    )
+    cleared_at = suspicion.cleared_at
     return ContentNews(
         content, ends, None if cleared_at is None else age_s(cleared_at, now)
     )
 
 
 def apply_content_update(
-    quarantine: Quarantine, news: ContentNews, now: Instant
+    quarantine: Quarantine, update: ContentNews, now: Instant
 ) -> bool:
     """Apply a peer's observations of a content; return whether any of them is new."""
     is_new = False
-    if news.cleared_s is not None:
+    if update.cleared_s is not None:
         is_new = quarantine.clear_content(
-            news.content, now - seconds(news.cleared_s), now
+            update.content, now - seconds(update.cleared_s), now
         )
-    for seen in news.ends:
+    for seen in update.ends:
         end = TargetEnd(seen.target, seen.incarnation, now - seconds(seen.age_s))
-        is_new = quarantine.record_target_end(news.content, end, now) or is_new
+        is_new = quarantine.record_target_end(update.content, end, now) or is_new
     return is_new
--- a/packages/daemon/src/sardinequay_daemon/dispatch.py
+++ b/packages/daemon/src/sardinequay_daemon/dispatch.py
@@ -21,12 +21,12 @@
 from sardinequay_core.names import Address, PoolName
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 
-from .caller_requests import ModelRequest, make_guarded_run
+from .caller_requests import ModelRequest, make_guarded_request
 from .claimer import Claimer
 from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .engine_client import EngineRequest, HttpEngineClient, read_events
 from .errors import TargetError, TargetFault
-from .guarded_run import GuardedRun
+from .guarded_request import GuardedRequest
 from .journal import Journal
 from .metrics import Metrics
 from .progress import Progress, RequestRefusedError, deadline_refusal
@@ -133,19 +133,27 @@
         RequestRefusedError
             If the answer cannot be completed.
         """
-        run = make_guarded_run(request.envelope, "POST", request.path, request.body)
+        guarded_request = make_guarded_request(
+            request.envelope, "POST", request.path, request.body
+        )
         async with self.claimer.hold_claim(request.envelope, progress, span):
             try:
-                attempts = self.events_with_retries(request, progress, span, run)
+                attempts = self.events_with_retries(
+                    request, progress, span, guarded_request
+                )
                 async with aclosing(attempts) as events:
                     async for event_batch in events:
                         yield event_batch
-                self.guard.record_answer(run.content)
+                self.guard.record_answer(guarded_request.content)
             finally:
-                self.guard.release_permit(run)
+                self.guard.release_permit(guarded_request)
 
     async def events_with_retries(
-        self, request: ModelRequest, progress: Progress, span: Span, run: GuardedRun
+        self,
+        request: ModelRequest,
+        progress: Progress,
+        span: Span,
+        guarded_request: GuardedRequest,
     ) -> AsyncGenerator[EventBatch, None]:
         """Yield events, trying engine after engine until the answer is complete."""
         budget = self.budgets.for_pool(request.pool.name)
@@ -153,10 +161,10 @@
         while True:
             # The end of the last engine's process also counts against the request,
             # which could otherwise crash one engine after another.
-            await self.guard.wait_for_end_check(run, MAX_PROBE_WAIT_S)
-            self.guard.refuse_if_held(run)
+            await self.guard.wait_for_end_check(guarded_request, MAX_PROBE_WAIT_S)
+            self.guard.refuse_if_held(guarded_request)
             use = await self.obtain_lease(request, span)
-            if not await self.guard.may_run(run):
+            if not await self.guard.may_run(guarded_request):
                 continue
             # If this process was suspended, its claim on the idempotency key may have
             # expired; then the request must not be sent.
@@ -177,8 +185,12 @@
                 target = self.leases.targets.get(use.target)
                 if not error.proves_not_run and target is not None:
                     ran_s = (self.leases.clock.monotonic() - began).total_seconds()
-                    self.guard.handle_broken_connection(run, target, 0, ran_s)
-                run.may_have_run = run.may_have_run or not error.proves_not_run
+                    self.guard.handle_broken_connection(
+                        guarded_request, target, 0, ran_s
+                    )
+                guarded_request.may_have_run = (
+                    guarded_request.may_have_run or not error.proves_not_run
+                )
                 self.after_failure(request, use, progress, error, budget)
             finally:
                 self.leases.end_request(use)
--- a/packages/daemon/src/sardinequay_daemon/errors.py
+++ b/packages/daemon/src/sardinequay_daemon/errors.py
@@ -70,7 +70,7 @@
     REFUSED = "refused"
     STALE_TOKEN = "stale_token"
     BROKEN = "broken"
-    LOST_ON_KEPT = "lost_on_kept"
+    LOST_ON_REUSED_CONNECTION = "lost_on_kept"
     SILENT = "silent"
 
 
@@ -89,7 +89,7 @@
         """Whether the target has certainly not run the request."""
         return self.fault not in (
             TargetFault.BROKEN,
-            TargetFault.LOST_ON_KEPT,
+            TargetFault.LOST_ON_REUSED_CONNECTION,
             TargetFault.SILENT,
         )
 
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -16,7 +16,7 @@
 from sardinequay_core.serving import Route
 
 from .errors import DaemonError
-from .guarded_run import GuardedRun
+from .guarded_request import GuardedRequest
 from .serving_ports import Headers, RequestTerms
 
 FIRST_EVENT_FLOOR_S = 2.0
@@ -61,7 +61,7 @@
     arrived: Instant
     deadline: Instant
     span: Span
-    guarded_run: GuardedRun
+    guarded_request: GuardedRequest
     organisation: Organisation | None = None
     attempts_so_far: AttemptCounts = field(default_factory=AttemptCounts)
     tried: frozenset[TargetId] = frozenset()
--- a/packages/daemon/src/sardinequay_daemon/guarded_run.py
+++ b/packages/daemon/src/sardinequay_daemon/guarded_request.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class GuardedRun:
+class GuardedRequest:
     """A request in progress, as the content guard tracks it.
 
     Parameters
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -291,11 +291,11 @@
         """Queue a request to load an adapter, or refuse it if it cannot be in time."""
         ticket = next(self.ticket_ids)
         deadline = now + timedelta(seconds=message.wait_s)
-        given_up = state.keeper.handle_load_request(
+        rejection = state.keeper.handle_load_request(
             ticket, message.adapter, deadline, now
         )
-        if given_up is not None:
-            wait_s = given_up.retry_after.total_seconds()
+        if rejection is not None:
+            wait_s = rejection.retry_after.total_seconds()
             queued_message.reply_with(Wanted(False, wait_s))
             return
         state.tickets[ticket] = queued_message
--- a/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
+++ b/packages/daemon/src/sardinequay_daemon/quarantine_replicator.py
@@ -110,8 +110,8 @@
     async def handle_contents_told(self, message: ContentsTold) -> ContentsReply:
         """Apply a host's observations; reply with this host's if it requests them."""
         self.received.on_next(message.contents)
-        known = self.quarantine.suspicions if message.wants_all else ()
-        return ContentsReply(self.content_updates(known))
+        requested = self.quarantine.suspicions if message.wants_all else ()
+        return ContentsReply(self.content_updates(requested))
 
     def content_updates(self, contents: Iterable[ContentId]) -> tuple[ContentNews, ...]:
         """Return this host's observations of some contents."""
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -46,7 +46,7 @@
             await self.serve_with_retries(exchange, sink)
         finally:
             exchange.end_repeat(self.clock.monotonic())
-            self.guard.release_permit(exchange.guarded_run)
+            self.guard.release_permit(exchange.guarded_request)
 
     async def serve_with_retries(
         self, exchange: RelayExchange, sink: AnswerSink
@@ -57,9 +57,9 @@
             # only the target's health counted, a request that crashes each target
             # would go on to the next one.
             await self.wait_for_end_check(exchange)
-            self.guard.refuse_if_held(exchange.guarded_run)
+            self.guard.refuse_if_held(exchange.guarded_request)
             target = await self.target_picker.choose(exchange)
-            if not await self.guard.may_run(exchange.guarded_run):
+            if not await self.guard.may_run(exchange.guarded_request):
                 continue
             attempt = Attempt(self.parts, exchange, target)
             end = await self.run_attempt(attempt, sink)
@@ -75,7 +75,7 @@
     ) -> None:
         """Record how an attempt at a target failed."""
         exchange.attempts_so_far = exchange.attempts_so_far.with_attempt(end)
-        exchange.guarded_run.may_have_run = exchange.attempts_so_far.runs > 0
+        exchange.guarded_request.may_have_run = exchange.attempts_so_far.runs > 0
         exchange.tried |= {target}
         if end is AttemptEnd.REJECTED:
             exchange.rejections[target] += 1
@@ -89,12 +89,14 @@
         permits.
         """
         exchange = lost_attempt.exchange
-        exchange.guarded_run.may_have_run = True
+        exchange.guarded_request.may_have_run = True
         time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
-        if not await self.guard.wait_for_end_check(exchange.guarded_run, time_left_s):
+        if not await self.guard.wait_for_end_check(
+            exchange.guarded_request, time_left_s
+        ):
             lost_attempt.record_result(AttemptResult.FAILED)
             return AttemptEnd.MAY_HAVE_RUN
-        if not await self.guard.may_run(exchange.guarded_run):
+        if not await self.guard.may_run(exchange.guarded_request):
             return AttemptEnd.MAY_HAVE_RUN
         now = self.clock.monotonic()
         usage = self.repeat_usage(exchange, now)
@@ -113,7 +115,7 @@
     async def wait_for_end_check(self, exchange: RelayExchange) -> None:
         """Wait until the probe of the last target is complete, up to the deadline."""
         time_left_s = exchange.time_left(self.clock.monotonic()).total_seconds()
-        await self.guard.wait_for_end_check(exchange.guarded_run, time_left_s)
+        await self.guard.wait_for_end_check(exchange.guarded_request, time_left_s)
         if (
             exchange.attempts_so_far.runs
             and exchange.time_left(self.clock.monotonic()) <= ZERO
@@ -208,10 +210,13 @@
                 end = await attempt.execute(sink)
         except TargetError as error:
             end = attempt.handle_failure(error)
-            if error.fault in (TargetFault.BROKEN, TargetFault.LOST_ON_KEPT):
+            if error.fault in (
+                TargetFault.BROKEN,
+                TargetFault.LOST_ON_REUSED_CONNECTION,
+            ):
                 incarnation = published.incarnation
                 self.guard.handle_broken_connection(
-                    exchange.guarded_run,
+                    exchange.guarded_request,
                     published.target,
                     incarnation,
                     attempt.elapsed_s(),
@@ -220,7 +225,7 @@
             attempt.end_accounting()
             exchange.end_repeat(self.clock.monotonic())
         if attempt.was_served:
-            self.guard.record_answer(exchange.guarded_run.content)
+            self.guard.record_answer(exchange.guarded_request.content)
         result = end.value if end else "answered"
         self.parts.metrics.attempts.inc({"pool": exchange.pool, "result": result})
         return end
--- a/packages/daemon/src/sardinequay_daemon/relay_server.py
+++ b/packages/daemon/src/sardinequay_daemon/relay_server.py
@@ -20,7 +20,7 @@
 from .caller_answer import CallerAnswer
 from .caller_connection import CallerConnection
 from .exchange import AnswerCutOffError, RelayExchange
-from .guarded_run import GuardedRun
+from .guarded_request import GuardedRequest
 from .progress import RequestRefusedError
 from .relay import Relay
 from .relay_state import RelayState
@@ -233,7 +233,7 @@
             arrived,
             deadline,
             span,
-            GuardedRun(terms.request_id, content),
+            GuardedRequest(terms.request_id, content),
             organisation,
             last_event=terms.last_event,
         )
--- a/packages/daemon/src/sardinequay_daemon/services.py
+++ b/packages/daemon/src/sardinequay_daemon/services.py
@@ -18,7 +18,7 @@
 from sardinequay_core.outcome import Outcome, Reason, Refusal, not_run_refusal
 from sardinequay_core.roster import EMPTY_ROSTER, Presence, Roster, Target
 
-from .caller_requests import RequestEnvelope, make_guarded_run
+from .caller_requests import RequestEnvelope, make_guarded_request
 from .claimer import Claimer, WonClaim
 from .content_guard import MAX_PROBE_WAIT_S, ContentGuard
 from .dispatch import RetryBudgets
@@ -204,7 +204,7 @@
         self.progress = progress
         self.span = span
         self.claim: WonClaim | None = None
-        self.run = make_guarded_run(
+        self.guarded_request = make_guarded_request(
             request.envelope, request.method, request.path, request.body
         )
         self.target: Target | None = None
@@ -223,7 +223,7 @@
             self.answer = await self.send_with_retries()
         except BaseException:
             self.settle_claim(ran=False)
-            self.forwarder.guard.release_permit(self.run)
+            self.forwarder.guard.release_permit(self.guarded_request)
             raise
         self.progress.last_event = 1
         return self.answer
@@ -238,12 +238,12 @@
         self.forwarder.count_in_flight(self.target, -1)
         self.answer.release() if error is None else self.answer.close()
         if error is None:
-            self.forwarder.guard.record_answer(self.run.content)
+            self.forwarder.guard.record_answer(self.guarded_request.content)
         elif isinstance(error, BROKEN_ERRORS):
             self.forwarder.guard.handle_broken_connection(
-                self.run, self.target, 0, self.attempt_age_s()
+                self.guarded_request, self.target, 0, self.attempt_age_s()
             )
-        self.forwarder.guard.release_permit(self.run)
+        self.forwarder.guard.release_permit(self.guarded_request)
         if isinstance(error, BROKEN_ERRORS):
             text = f"the answer was cut off: {error!r}"
             lost = Refusal(Reason.ANSWER_LOST, Outcome.RAN, text)
@@ -260,14 +260,14 @@
         forwarder, request, progress = self.forwarder, self.request, self.progress
         budget = forwarder.budgets.for_pool(request.service.pool)
         budget.record_first_attempt()
-        guard, run = forwarder.guard, self.run
+        guard, guarded_request = forwarder.guard, self.guarded_request
         while True:
             # The end of the last target's process also counts against the request,
             # which could otherwise crash one target after another.
-            await guard.wait_for_end_check(run, MAX_PROBE_WAIT_S)
-            guard.refuse_if_held(run)
+            await guard.wait_for_end_check(guarded_request, MAX_PROBE_WAIT_S)
+            guard.refuse_if_held(guarded_request)
             target = forwarder.choose(request)
-            if not await guard.may_run(run):
+            if not await guard.may_run(guarded_request):
                 continue
             # If this process was suspended, its claim on the idempotency key may have
             # expired; then the request must not be sent.
@@ -284,8 +284,10 @@
                 return answer
             except TargetError as error:
                 if not error.proves_not_run:
-                    guard.handle_broken_connection(run, target, 0, self.attempt_age_s())
-                    run.may_have_run = True
+                    guard.handle_broken_connection(
+                        guarded_request, target, 0, self.attempt_age_s()
+                    )
+                    guarded_request.may_have_run = True
                 forwarder.after_failure(request, target, progress, error)
                 if not budget.try_spend(progress.attempts):
                     raise RequestRefusedError(
--- a/packages/daemon/src/sardinequay_daemon/single_send.py
+++ b/packages/daemon/src/sardinequay_daemon/single_send.py
@@ -84,7 +84,9 @@
         except ConnectionLostError as error:
             if not self.is_on_reused_connection:
                 raise
-            raise TargetError(TargetFault.LOST_ON_KEPT, str(error)) from error
+            raise TargetError(
+                TargetFault.LOST_ON_REUSED_CONNECTION, str(error)
+            ) from error
 
 
 def connection_reuse_trace() -> aiohttp.TraceConfig:
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -108,7 +108,11 @@
         oldest = now - RESTART_VISIBLE_WITHIN
         while self.presumed_alive and self.presumed_alive[0].at < oldest:
             self.presumed_alive.popleft()
-        restarted = [b for b in self.presumed_alive if is_restart_listed(b, catalogue)]
+        restarted = [
+            request
+            for request in self.presumed_alive
+            if is_restart_listed(request, catalogue)
+        ]
         for interrupted in restarted:
             self.presumed_alive.remove(interrupted)
             self.log_target_end(interrupted)
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -270,7 +270,7 @@
             extra={
                 "request": exchange.terms.request_id,
                 "target": target,
-                "content": exchange.guarded_run.content,
+                "content": exchange.guarded_request.content,
                 "adapter": exchange.terms.adapter,
                 "why": reason,
                 "options": options,
--- a/packages/daemon/src/sardinequay_daemon/target_probe.py
+++ b/packages/daemon/src/sardinequay_daemon/target_probe.py
@@ -70,7 +70,7 @@
         if not await self.accepts(target.address):
             return False
         path = self.health_path(target.pool)
-        sign = await self.status_probe.probe_status(target, incarnation, path)
-        if sign in (ProbeResult.REFUSED, ProbeResult.NO_ANSWER):
+        result = await self.status_probe.probe_status(target, incarnation, path)
+        if result in (ProbeResult.REFUSED, ProbeResult.NO_ANSWER):
             return self.is_busy(target.target_id)
-        return sign is ProbeResult.HEALTHY
+        return result is ProbeResult.HEALTHY
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -22,7 +22,7 @@
 from sardinequay_daemon.content_messages import AskPermit
 from sardinequay_daemon.content_updates import content_update
 from sardinequay_daemon.errors import PeerError
-from sardinequay_daemon.guarded_run import GuardedRun
+from sardinequay_daemon.guarded_request import GuardedRequest
 from sardinequay_daemon.progress import RequestRefusedError
 from sardinequay_daemon.target_end_detector import InterruptedRequest
 
@@ -85,8 +85,8 @@
     return made
 
 
-def run() -> GuardedRun:
-    return GuardedRun("r1", FATAL)
+def run() -> GuardedRequest:
+    return GuardedRequest("r1", FATAL)
 
 
 def target(name: str) -> Target:
--- a/packages/daemon/tests/test_target_picker.py
+++ b/packages/daemon/tests/test_target_picker.py
@@ -43,7 +43,7 @@
 )
 from sardinequay_daemon.attempt import RelayDependencies
 from sardinequay_daemon.exchange import RelayExchange
-from sardinequay_daemon.guarded_run import GuardedRun
+from sardinequay_daemon.guarded_request import GuardedRequest
 from sardinequay_daemon.progress import RequestRefusedError
 from sardinequay_daemon.relay_state import EngineKeeper, RelayState
 from sardinequay_daemon.serving_messages import WantAdapter, WantReply
@@ -143,7 +143,7 @@
     now = clock.monotonic()
     return RelayExchange(
         terms=RequestTerms("r1", "m", f"m/{adapter}", 2000, wait),
-        guarded_run=GuardedRun("r1", ContentId("c")),
+        guarded_request=GuardedRequest("r1", ContentId("c")),
         route=ROUTE,
         pool=POOL,
         method="POST",
