--- a/packages/daemon/src/sardinequay_daemon/bounded_log.py
+++ b/packages/daemon/src/sardinequay_daemon/bounded_log.py
@@ -1,7 +1,7 @@
 """Structured logs on standard output that never block and are bounded in rate and size.
 
 Each line is one JSON object. Lines above the rate limit, and lines that a slow reader
-does not read in time, are dropped and counted; a line of its own reports the count.
+does not read in time, are dropped and counted; a separate line reports the count.
 """
 
 import logging
--- a/packages/daemon/src/sardinequay_daemon/claimer.py
+++ b/packages/daemon/src/sardinequay_daemon/claimer.py
@@ -41,7 +41,7 @@
 
 
 class Claimer:
-    """Requests the votes of guards on keys, and tells guards the outcome."""
+    """Requests the votes of guards on keys, and sends them the outcomes of requests."""
 
     def __init__(
         self,
--- a/packages/daemon/src/sardinequay_daemon/content_guard.py
+++ b/packages/daemon/src/sardinequay_daemon/content_guard.py
@@ -47,8 +47,8 @@
 longer than a probe takes."""
 
 PERMIT_POLL_S = 0.05
-"""Interval at which a permit that another run has is requested again, in seconds: about
-the run time of a plain request."""
+"""Interval at which a permit that another request holds is requested again, in seconds:
+about the run time of a plain request."""
 
 MAX_PERMIT_WAIT_S = 0.5
 """How long a request waits for a permit, in seconds: requests that crash targets do so
@@ -135,7 +135,7 @@
         Raises
         ------
         RequestRefusedError
-            If other runs of its content held the permit for too long.
+            If other requests of its content held the permit for too long.
         """
         content = request.content
         if not self.quarantine.is_suspect(content) or request.permit:
@@ -247,7 +247,7 @@
         return reply.is_granted
 
     async def handle_ask_permit(self, request: AskPermit) -> PermitReply:
-        """Grant a permit, unless another run has it or the content is quarantined."""
+        """Grant a permit, unless it is held or the content is quarantined."""
         self.apply_update(request.news)
         content = request.news.content
         now = self.clock.monotonic()
--- a/packages/daemon/src/sardinequay_daemon/engine_client.py
+++ b/packages/daemon/src/sardinequay_daemon/engine_client.py
@@ -275,7 +275,7 @@
 def refusal_error(status: int, data: bytes) -> TargetError:
     """Return the error for an engine's response other than 200.
 
-    Its fault tells whether the request has certainly not run.
+    Its fault states whether the request has certainly not run.
     """
     try:
         body: Any = msgspec.json.decode(data)
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -38,7 +38,8 @@
     Parameters
     ----------
     deadline : timedelta
-        The earlier of the caller's and the route's, on this host's monotonic clock.
+        The earlier of the caller's and the route's deadline, on this host's monotonic
+        clock.
     guarded_run : GuardedRun
         The request's record for the content guard.
     organisation : Organisation or None
--- a/packages/daemon/src/sardinequay_daemon/guard_task.py
+++ b/packages/daemon/src/sardinequay_daemon/guard_task.py
@@ -60,7 +60,7 @@
 class GuardTask:
     """Owns this host's state as a guard: one `GuardDuty` for each data centre.
 
-    A duty holds the claims on keys of its data centre, and the view being joined.
+    Each holds the claims on keys of its data centre, and the view being joined.
     """
 
     def __init__(
@@ -193,7 +193,7 @@
     async def request_handover(
         self, joining: ViewJoin, guard: GuardAddress, request: HandoverRequest
     ) -> None:
-        """Fetch all pages of one guard's claims; nothing is kept if one page fails."""
+        """Fetch all pages of one guard's claims; discard all if one page fails."""
         asked_at = self.clock.monotonic()
         pages: list[Handover] = []
         after = ""
--- a/packages/daemon/src/sardinequay_daemon/guarded_request.py
+++ b/packages/daemon/src/sardinequay_daemon/guarded_request.py
@@ -22,7 +22,7 @@
     permit : str
         The permit to run suspected content; empty if the request holds none.
     permit_waits : int
-        How often the permit was held by another request.
+        How often the request found the permit held by another request.
     target_end_check : Task or None
         Checks whether the last target ended while it ran the request.
     """
--- a/packages/daemon/src/sardinequay_daemon/keeper_task.py
+++ b/packages/daemon/src/sardinequay_daemon/keeper_task.py
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class KeepershipState:
-    """One keepership: a pool whose keeper is this host, and the hosts that wait.
+    """One keepership: a pool whose keeper is this host, and its waiting load requests.
 
     Parameters
     ----------
@@ -217,7 +217,7 @@
         )
 
     def drop_keepership(self, pool: PoolName) -> None:
-        """Drop a keepership; hosts that wait are told to find the new keeper."""
+        """Drop a keepership; reply `NotKeeper` to its waiting load requests."""
         state = self.keeperships.pop(pool)
         for queued_message in state.tickets.values():
             queued_message.reply_with(NotKeeper())
--- a/packages/daemon/src/sardinequay_daemon/serving_host.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_host.py
@@ -99,8 +99,8 @@
 
     Parameters
     ----------
-    output : BoundedOutput
-        The buffered log output.
+    output : NonBlockingLogHandler
+        The log handler; its queued lines are written periodically and at the stop.
     process_started_at : timedelta
         Start of this process on the monotonic clock.
     """
@@ -332,8 +332,8 @@
     async def run_housekeeping(self) -> None:
         """Flush the log, update gauges and expire contents, every half a second.
 
-        Objects created at start are excluded from garbage collection, to keep memory
-        from growing.
+        Objects that exist when it starts are excluded from garbage collection, so that
+        garbage in reference cycles does not make memory grow.
         """
         gc.freeze()
         while True:
--- a/packages/daemon/src/sardinequay_daemon/serving_ports.py
+++ b/packages/daemon/src/sardinequay_daemon/serving_ports.py
@@ -1,6 +1,6 @@
 """Interfaces that a deployment implements for the serving host, and their types.
 
-A deployment's adapter only translates between its wire formats and these types. All
+A deployment's integration only translates between its wire formats and these types. All
 decisions, retries and state are on the side of the serving host.
 """
 
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """The engine carries the order out, or it already holds."""
+    """The engine carries out the order, or is already in the state that it requests."""
 
     holds_already: bool
 
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -25,7 +25,7 @@
 appears some heartbeats after the end. A later start has other reasons."""
 
 MAX_PRESUMED_ALIVE = 256
-"""Number of interrupted requests kept to compare with later starts of their targets;
+"""Number of interrupted requests stored to compare with later starts of their targets;
 the oldest are dropped first."""
 
 AliveCheck = Callable[[Target, int], Awaitable[bool]]
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -38,7 +38,7 @@
 
 MAX_REJECTIONS_PER_TARGET = 2
 """How often one request is sent to a target of a plain pool that rejects it: each
-further arrival costs a full target work that serves nobody."""
+further arrival makes a full target do work that serves nobody."""
 
 NEXT_TARGET_PAUSE_S = 0.02
 """Pause before a rejected request is sent to another target, in seconds."""
--- a/packages/daemon/src/sardinequay_daemon/use_lease_task.py
+++ b/packages/daemon/src/sardinequay_daemon/use_lease_task.py
@@ -45,7 +45,7 @@
 RENEWALS_PER_LEASE = 4
 AVOID_FOR = timedelta(seconds=3)
 """How long an unreachable data centre is tried last, and a failed target avoided."""
-KEEPERS_ASKED = 3
+MAX_KEEPER_CANDIDATES = 3
 RETRY_PAUSE_S = 0.1
 NO_KEEPER_RETRY = timedelta(seconds=2)
 MessageMaker = Callable[[Keepership], Acquire | Want]
@@ -247,7 +247,7 @@
         )
 
     def keeper_candidates(self, keepership: Keepership) -> Iterator[Address]:
-        """Yield the addresses of the most likely keepers, the first rank first."""
+        """Yield the addresses of the most likely keepers, in order of rank."""
         local = keepership.data_centre == self.data_centre
         hosts: dict[str, Address] = {}
         if local:
@@ -257,7 +257,7 @@
                 if host.presence is Presence.LIVE:
                     hosts[str(host.host_id)] = host.peer_address
         ranked = keeper_rank(keepership.pool, keepership.data_centre, list(hosts))
-        yield from (hosts[name] for name in ranked[:KEEPERS_ASKED])
+        yield from (hosts[name] for name in ranked[:MAX_KEEPER_CANDIDATES])
 
     async def request_from_keeper(
         self,
