--- a/packages/daemon/src/sardinequay_daemon/attempt.py
+++ b/packages/daemon/src/sardinequay_daemon/attempt.py
@@ -57,14 +57,14 @@
 
     def __init__(
         self,
-        parts: RelayDependencies,
+        dependencies: RelayDependencies,
         exchange: RelayExchange,
         published: PublishedTarget,
         is_resend: bool = False,
     ) -> None:
-        self.parts = parts
-        self.state = parts.state
-        self.clock = parts.state.clock
+        self.dependencies = dependencies
+        self.state = dependencies.state
+        self.clock = dependencies.state.clock
         self.exchange = exchange
         self.is_resend = is_resend
         self.published = published
@@ -99,7 +99,9 @@
             self.record_first_event()
         if self.adapter is not None:
             count = self.state.uses.adjust_own_count(self.target_id, self.adapter, 1)
-            self.parts.load_requests.report_use(self.target_id, self.adapter, count)
+            self.dependencies.load_requests.report_use(
+                self.target_id, self.adapter, count
+            )
         self.state.health.record_sent(self.target_id)
 
     def end_accounting(self) -> None:
@@ -109,7 +111,9 @@
         if self.adapter is not None and self.is_same_incarnation():
             count = self.state.uses.adjust_own_count(self.target_id, self.adapter, -1)
             if not count:
-                self.parts.load_requests.report_use(self.target_id, self.adapter, count)
+                self.dependencies.load_requests.report_use(
+                    self.target_id, self.adapter, count
+                )
 
     def is_same_incarnation(self) -> bool:
         """Return whether the target has not restarted since it was chosen."""
@@ -124,11 +128,11 @@
 
     def record_result(self, result: AttemptResult) -> None:
         """Record the attempt's result in the target's health."""
-        is_out = self.state.health.record_result(
+        is_excluded = self.state.health.record_result(
             self.target_id, result, self.sent_at, self.clock.monotonic()
         )
-        if is_out:
-            self.parts.metrics.left_out.inc({"pool": self.exchange.pool})
+        if is_excluded:
+            self.dependencies.metrics.left_out.inc({"pool": self.exchange.pool})
             log.warning(
                 "target left out",
                 extra={
@@ -154,7 +158,7 @@
             exchange.last_event,
             exchange.organisation.name if exchange.organisation else "",
         )
-        headers = self.parts.dialect.target_headers(
+        headers = self.dependencies.dialect.target_headers(
             exchange.headers, exchange.terms, terms
         )
         headers.update(self.trace_headers)
@@ -181,14 +185,14 @@
 
     async def execute(self, sink: AnswerSink) -> AttemptEnd | None:
         """Send the request and pass the answer on; return how that failed, or None."""
-        upstream = self.parts.upstream
+        upstream = self.dependencies.upstream
         request = self.build_request()
         address = self.target.address
         async with upstream.send(
             address, request, self.head_timeout_s(), self.count_send
         ) as answer:
             self.exchange.end_repeat(self.clock.monotonic())
-            facts = self.parts.dialect.read_facts(answer.status, answer.headers)
+            facts = self.dependencies.dialect.read_facts(answer.status, answer.headers)
             if facts.request_id != self.exchange.terms.request_id:
                 detail = f"an answer to {facts.request_id!r}"
                 raise TargetError(TargetFault.BROKEN, detail)
@@ -198,7 +202,7 @@
 
     def count_send(self) -> None:
         """Count the request as sent to the target."""
-        self.parts.metrics.sends.inc({"pool": self.exchange.pool})
+        self.dependencies.metrics.sends.inc({"pool": self.exchange.pool})
 
     def handle_rejection(self, status: int, facts: AnswerFacts) -> AttemptEnd:
         """Handle an answer which states that the target has not run the request."""
@@ -210,7 +214,9 @@
                 self.record_result(AttemptResult.CONNECTION_LOST)
             elif self.adapter is not None and self.is_same_incarnation():
                 self.state.residency.record_missing(self.published, self.adapter)
-                self.parts.load_requests.report_missing(self.published, self.adapter)
+                self.dependencies.load_requests.report_missing(
+                    self.published, self.adapter
+                )
         else:
             self.record_result(AttemptResult.REJECTED)
         log.info(
--- a/packages/daemon/src/sardinequay_daemon/caller_server.py
+++ b/packages/daemon/src/sardinequay_daemon/caller_server.py
@@ -248,16 +248,16 @@
         events = self.dispatcher.stream_events(
             request, exchange.progress, exchange.span
         )
-        async with aclosing(events) as parts:
+        async with aclosing(events) as event_batches:
             if request.stream:
                 headers["Content-Type"] = "text/event-stream"
                 headers["Cache-Control"] = "no-store"
-                async for part in parts:
-                    await self.write(exchange, 200, headers, part.data)
+                async for event_batch in event_batches:
+                    await self.write(exchange, 200, headers, event_batch.data)
                 return await self.finish_stream(exchange)
             assembler = CompletionAssembler()
-            async for part in parts:
-                assembler.add_events(part.data)
+            async for event_batch in event_batches:
+                assembler.add_events(event_batch.data)
         return web.Response(
             body=assembler.body(), headers=headers, content_type="application/json"
         )
--- a/packages/daemon/src/sardinequay_daemon/relay.py
+++ b/packages/daemon/src/sardinequay_daemon/relay.py
@@ -24,12 +24,12 @@
 class Relay:
     """Sends requests to targets and passes the answers on to the callers."""
 
-    def __init__(self, parts: RelayDependencies, guard: ContentGuard) -> None:
-        self.parts = parts
+    def __init__(self, dependencies: RelayDependencies, guard: ContentGuard) -> None:
+        self.dependencies = dependencies
         self.guard = guard
-        self.state = parts.state
-        self.clock = parts.state.clock
-        self.target_picker = TargetPicker(parts)
+        self.state = dependencies.state
+        self.clock = dependencies.state.clock
+        self.target_picker = TargetPicker(dependencies)
 
     async def serve(self, exchange: RelayExchange, sink: AnswerSink) -> None:
         """Try targets until one answers, and pass the answer to a sink.
@@ -61,7 +61,7 @@
             target = await self.target_picker.choose(exchange)
             if not await self.guard.may_run(exchange.guarded_request):
                 continue
-            attempt = Attempt(self.parts, exchange, target)
+            attempt = Attempt(self.dependencies, exchange, target)
             end = await self.run_attempt(attempt, sink)
             if end is AttemptEnd.LOST_ON_REUSED_CONNECTION:
                 end = await self.resend(attempt, sink)
@@ -107,7 +107,7 @@
         )
         exchange.begin_repeat(self.state.repeat_budget(exchange.pool))
         second_attempt = Attempt(
-            self.parts, exchange, lost_attempt.published, is_resend=True
+            self.dependencies, exchange, lost_attempt.published, is_resend=True
         )
         end = await self.run_attempt(second_attempt, sink)
         return AttemptEnd.MAY_HAVE_RUN if end is not None else None
@@ -172,7 +172,9 @@
         """Log whether another attempt is permitted, and what that depends on."""
         is_permitted = decision is RetryDecision.RETRY
         label = "yes" if is_permitted else "no"
-        self.parts.metrics.repeats.inc({"pool": exchange.pool, "permitted": label})
+        self.dependencies.metrics.repeats.inc(
+            {"pool": exchange.pool, "permitted": label}
+        )
         log.info(
             "further attempt",
             extra={
@@ -205,8 +207,10 @@
         exchange, published = attempt.exchange, attempt.published
         attempt.begin_accounting()
         try:
-            with self.parts.tracing.child_span("target", exchange.span) as span:
-                attempt.trace_headers = self.parts.tracing.propagation_headers(span)
+            with self.dependencies.tracing.child_span("target", exchange.span) as span:
+                attempt.trace_headers = self.dependencies.tracing.propagation_headers(
+                    span
+                )
                 end = await attempt.execute(sink)
         except TargetError as error:
             end = attempt.handle_failure(error)
@@ -227,5 +231,7 @@
         if attempt.was_served:
             self.guard.record_answer(exchange.guarded_request.content)
         result = end.value if end else "answered"
-        self.parts.metrics.attempts.inc({"pool": exchange.pool, "result": result})
+        self.dependencies.metrics.attempts.inc(
+            {"pool": exchange.pool, "result": result}
+        )
         return end
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -65,12 +65,12 @@
 class TargetPicker:
     """Chooses targets by this host's state and by keepers' replies to load requests."""
 
-    def __init__(self, parts: RelayDependencies) -> None:
-        self.state = parts.state
-        self.options = TargetOptions(parts.state)
-        self.load_requests = parts.load_requests
-        self.metrics = parts.metrics
-        self.clock = parts.state.clock
+    def __init__(self, dependencies: RelayDependencies) -> None:
+        self.state = dependencies.state
+        self.options = TargetOptions(dependencies.state)
+        self.load_requests = dependencies.load_requests
+        self.metrics = dependencies.metrics
+        self.clock = dependencies.state.clock
 
     async def choose(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the next attempt's target, waiting for an adapter load if needed."""
--- a/packages/daemon/tests/test_content_guard.py
+++ b/packages/daemon/tests/test_content_guard.py
@@ -85,7 +85,7 @@
     return made
 
 
-def run() -> GuardedRequest:
+def make_guarded_request() -> GuardedRequest:
     return GuardedRequest("r1", FATAL)
 
 
@@ -96,7 +96,7 @@
 
 async def end_target_under_request(guard: ContentGuard, name: str) -> None:
     """Break a request's connection to a target and wait until its end is recorded."""
-    sent = run()
+    sent = make_guarded_request()
     guard.handle_broken_connection(sent, target(name), 1, 0.1)
     await guard.wait_for_end_check(sent, 5.0)
 
@@ -112,18 +112,18 @@
 
 async def test_content_without_an_end_needs_no_permit(net, clock) -> None:
     for guard in net.guards:
-        guard.refuse_if_held(run())
-        assert await guard.may_run(run())
+        guard.refuse_if_held(make_guarded_request())
+        assert await guard.may_run(make_guarded_request())
 
 
 async def test_second_end_quarantines_content_with_retry_after(net, clock) -> None:
     guard = net.guards[0]
     await end_target_under_request(guard, "e1")
-    guard.refuse_if_held(run())
+    guard.refuse_if_held(make_guarded_request())
     await end_target_under_request(guard, "e2")
     clock.advance(1)
     with pytest.raises(RequestRefusedError) as caught:
-        guard.refuse_if_held(run())
+        guard.refuse_if_held(make_guarded_request())
     refusal = caught.value.refusal
     assert (refusal.reason, refusal.outcome) == (Reason.QUARANTINED, Outcome.NOT_RUN)
     assert refusal.status == 503
@@ -135,7 +135,7 @@
     guard = net.guards[0]
     for name in ("e1", "e2"):
         await end_target_under_request(guard, name)
-    sent = run()
+    sent = make_guarded_request()
     sent.may_have_run = True
     with pytest.raises(RequestRefusedError) as caught:
         guard.refuse_if_held(sent)
@@ -152,21 +152,21 @@
 async def test_suspects_run_one_at_a_time_in_the_fleet(net, clock) -> None:
     for guard in net.guards:
         guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
-    sent = [run() for _ in net.guards]
+    sent = [make_guarded_request() for _ in net.guards]
     permitted = [await g.may_run(e) for g, e in zip(net.guards, sent, strict=True)]
     assert sum(permitted) == 1
     first = permitted.index(True)
     net.guards[first].release_permit(sent[first])
     await asyncio.gather(*net.guards[first].tasks)
-    assert await net.guards[(first + 1) % len(HOSTS)].may_run(run())
+    assert await net.guards[(first + 1) % len(HOSTS)].may_run(make_guarded_request())
 
 
 async def test_request_that_waits_too_long_for_a_permit_is_refused(net, clock) -> None:
     guard, other = others(net)[:2]
     guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     other.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
-    assert await guard.may_run(run())
-    waiting = run()
+    assert await guard.may_run(make_guarded_request())
+    waiting = make_guarded_request()
     with pytest.raises(RequestRefusedError) as caught:
         while not await other.may_run(waiting):
             pass
@@ -178,7 +178,7 @@
     guard, other = others(net)[:2]
     for g in (guard, other):
         g.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
-    sent = run()
+    sent = make_guarded_request()
     assert await guard.may_run(sent)
     guard.handle_broken_connection(sent, target("e2"), 1, 0.1)
     guard.release_permit(sent)
@@ -186,7 +186,7 @@
         await asyncio.gather(*guard.tasks)
     # The other host does not know of the second end; the issuer's reply reports it.
     assert not other.quarantine.remaining_hold(FATAL, clock.monotonic())
-    assert not await other.may_run(run())
+    assert not await other.may_run(make_guarded_request())
     assert other.quarantine.remaining_hold(FATAL, clock.monotonic())
 
 
@@ -194,8 +194,8 @@
     guard = others(net)[0]
     guard.quarantine.record_target_end(FATAL, broken_end(clock), clock.monotonic())
     net.is_cut = True
-    assert await guard.may_run(run())
-    assert not await guard.may_run(run())
+    assert await guard.may_run(make_guarded_request())
+    assert not await guard.may_run(make_guarded_request())
 
 
 async def test_answer_clears_content_on_all_hosts(net, clock) -> None:
@@ -214,7 +214,7 @@
         await end_target_under_request(guard, name)
     clock.advance(1)
     assert guard.lift_quarantine(FATAL)
-    guard.refuse_if_held(run())
+    guard.refuse_if_held(make_guarded_request())
 
 
 async def test_content_update_quarantines_content_on_other_hosts(net, clock) -> None:
@@ -223,7 +223,7 @@
         await end_target_under_request(guard, name)
     other.apply_update(content_update(guard.quarantine, FATAL, clock.monotonic()))
     with pytest.raises(RequestRefusedError):
-        other.refuse_if_held(run())
+        other.refuse_if_held(make_guarded_request())
 
 
 def broken_end(clock: ManualClock) -> TargetEnd:
