--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -16,7 +16,7 @@
 from sardinequay_core.serving import Route
 
 from .errors import DaemonError
-from .guarded_run import GuardedRun
+from .guarded_request import GuardedRequest
 from .serving_ports import Headers, RequestTerms
 
 FIRST_EVENT_FLOOR_S = 2.0
@@ -38,7 +38,8 @@
     Parameters
     ----------
     deadline : timedelta
-        The earlier of the caller's and the route's, on this host's monotonic clock.
+        The earlier of the caller's and the route's deadline, on this host's monotonic
+        clock.
     guarded_run : GuardedRun
         The request's record for the content guard.
     organisation : Organisation or None
@@ -61,7 +62,7 @@
     arrived: Instant
     deadline: Instant
     span: Span
-    guarded_run: GuardedRun
+    guarded_request: GuardedRequest
     organisation: Organisation | None = None
     attempts_so_far: AttemptCounts = field(default_factory=AttemptCounts)
     tried: frozenset[TargetId] = frozenset()
--- a/packages/daemon/src/sardinequay_daemon/guarded_run.py
+++ b/packages/daemon/src/sardinequay_daemon/guarded_request.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class GuardedRun:
+class GuardedRequest:
     """A request in progress, as the content guard tracks it.
 
     Parameters
@@ -22,7 +22,7 @@
     permit : str
         The permit to run suspected content; empty if the request holds none.
     permit_waits : int
-        How often the permit was held by another request.
+        How often the request found the permit held by another request.
     target_end_check : Task or None
         Checks whether the last target ended while it ran the request.
     """
--- a/packages/daemon/src/sardinequay_daemon/target_end_detector.py
+++ b/packages/daemon/src/sardinequay_daemon/target_end_detector.py
@@ -25,7 +25,7 @@
 appears some heartbeats after the end. A later start has other reasons."""
 
 MAX_PRESUMED_ALIVE = 256
-"""Number of interrupted requests kept to compare with later starts of their targets;
+"""Number of interrupted requests stored to compare with later starts of their targets;
 the oldest are dropped first."""
 
 AliveCheck = Callable[[Target, int], Awaitable[bool]]
@@ -108,7 +108,11 @@
         oldest = now - RESTART_VISIBLE_WITHIN
         while self.presumed_alive and self.presumed_alive[0].at < oldest:
             self.presumed_alive.popleft()
-        restarted = [b for b in self.presumed_alive if is_restart_listed(b, catalogue)]
+        restarted = [
+            request
+            for request in self.presumed_alive
+            if is_restart_listed(request, catalogue)
+        ]
         for interrupted in restarted:
             self.presumed_alive.remove(interrupted)
             self.log_target_end(interrupted)
--- a/packages/daemon/src/sardinequay_daemon/target_picker.py
+++ b/packages/daemon/src/sardinequay_daemon/target_picker.py
@@ -38,7 +38,7 @@
 
 MAX_REJECTIONS_PER_TARGET = 2
 """How often one request is sent to a target of a plain pool that rejects it: each
-further arrival costs a full target work that serves nobody."""
+further arrival makes a full target do work that serves nobody."""
 
 NEXT_TARGET_PAUSE_S = 0.02
 """Pause before a rejected request is sent to another target, in seconds."""
@@ -65,12 +65,12 @@
 class TargetPicker:
     """Chooses targets by this host's state and by keepers' replies to load requests."""
 
-    def __init__(self, parts: RelayDependencies) -> None:
-        self.state = parts.state
-        self.options = TargetOptions(parts.state)
-        self.load_requests = parts.load_requests
-        self.metrics = parts.metrics
-        self.clock = parts.state.clock
+    def __init__(self, dependencies: RelayDependencies) -> None:
+        self.state = dependencies.state
+        self.options = TargetOptions(dependencies.state)
+        self.load_requests = dependencies.load_requests
+        self.metrics = dependencies.metrics
+        self.clock = dependencies.state.clock
 
     async def choose(self, exchange: RelayExchange) -> PublishedTarget:
         """Return the next attempt's target, waiting for an adapter load if needed."""
@@ -270,7 +270,7 @@
             extra={
                 "request": exchange.terms.request_id,
                 "target": target,
-                "content": exchange.guarded_run.content,
+                "content": exchange.guarded_request.content,
                 "adapter": exchange.terms.adapter,
                 "why": reason,
                 "options": options,
