--- a/packages/core/src/sardinequay_core/approval.py
+++ b/packages/core/src/sardinequay_core/approval.py
@@ -145,7 +145,8 @@
 def compare_roots(offered: Root, in_force: Root | None) -> RootComparison:
     """Compare an offered root with the root in force.
 
-    Two roots with the same version must be identical; otherwise they conflict.
+    Versions only increase: an older root never replaces the one in force. Two roots
+    with the same version must be identical; otherwise they conflict.
     """
     if in_force is None or offered.version > in_force.version:
         return RootComparison.NEWER
--- a/packages/core/src/sardinequay_core/claims.py
+++ b/packages/core/src/sardinequay_core/claims.py
@@ -2,9 +2,9 @@
 
 Before a host dispatches such a request, it claims the request's key at a majority of
 the guards of the key's home data centre. Any two majorities of one view overlap, so at
-most one attempt wins. `view_join` implements the change
-from one view to the next and the recovery of guards that lost all their state;
-docs/design/at-most-once.md gives the argument for its safety.
+most one attempt wins. `view_join` implements the change from one view to the next and
+the recovery of guards that lost all their state; docs/design/at-most-once.md gives the
+argument for its safety.
 
 Claims are soft state: they are held in memory and expire after `ClaimPolicy.retention`
 without any cleanup by the claimant.
--- a/packages/core/src/sardinequay_core/engine_scheduler.py
+++ b/packages/core/src/sardinequay_core/engine_scheduler.py
@@ -317,7 +317,10 @@
             self.mark_in_doubt(now)
 
     def mark_in_doubt(self, now: Instant) -> None:
-        """Record that an order's answer was lost, so that it may have been accepted."""
+        """Record that the engine's order count is unknown until the next valid report.
+
+        After a lost answer, for example, the order may have been accepted.
+        """
         self.accepted_orders = None
         self.doubt_since = now
 
@@ -377,7 +380,7 @@
     def next_adapter_order(
         self, in_use: Mapping[AdapterRef, int], now: Instant
     ) -> EngineOrder | None:
-        """Return the order that brings the most valuable requested adapter closer."""
+        """Return the next order for the most valuable load request that can proceed."""
         ranked = sorted(
             self.load_requests.items(),
             key=lambda item: (
--- a/packages/core/src/sardinequay_core/keeper.py
+++ b/packages/core/src/sardinequay_core/keeper.py
@@ -7,10 +7,11 @@
 
 An adapter is evicted only when no request under a use lease can be running: each lease
 was returned, or it expired and afterwards either the longest request duration has
-passed or a later requested report shows the adapter idle. A keeper grants leases only
-while a report requested less than a lease duration ago showed no token above its own.
-A replaced keeper therefore stops granting. Its successor treats every adapter as leased
-until one lease duration after the engine accepted the successor's token.
+passed or a report that was requested after the expiry shows the adapter idle. A keeper
+grants leases only while a report requested less than a lease duration ago showed no
+token above its own. A replaced keeper therefore stops granting. Its successor treats
+every adapter as leased until one lease duration after the engine accepted the
+successor's token.
 """
 
 from collections.abc import Iterable
@@ -297,7 +298,10 @@
                 self.take_over_engine(engine)
 
     def assert_tokens(self) -> list[Command]:
-        """Make engines accept the new token by an order for a resident adapter."""
+        """Make taken-over engines accept the new token by an order without effect.
+
+        The order is a load of an adapter that is already resident.
+        """
         commands: list[Command] = []
         for engine in self.engines.values():
             if engine.is_token_pending and engine.resident and engine.loading is None:
--- a/packages/core/src/sardinequay_core/load_times.py
+++ b/packages/core/src/sardinequay_core/load_times.py
@@ -71,7 +71,8 @@
     def record_late_load(self, adapter: AdapterRef) -> None:
         """Raise the expected time of cold loads after a late load.
 
-        The adapter is no longer expected in the engine's memory.
+        A late load came from the weight store, so the adapter no longer counts as
+        loadable from the engine's memory.
         """
         self.cold_load_s = min(MAX_COLD_LOAD_S, self.cold_load_s * COLD_GROWTH)
         self.recent.pop(adapter, None)
--- a/packages/core/src/sardinequay_core/membership.py
+++ b/packages/core/src/sardinequay_core/membership.py
@@ -104,7 +104,10 @@
                 self.records[member.host_id] = MemberRecord(member, now)
 
     def next_ping_target(self) -> Member | None:
-        """Return the next member to ping, from a random order of all members."""
+        """Return the next member to ping.
+
+        Each member is pinged once per round, in a random order.
+        """
         while True:
             if not self.ping_queue:
                 self.ping_queue = sorted(
--- a/packages/core/src/sardinequay_core/order_lease.py
+++ b/packages/core/src/sardinequay_core/order_lease.py
@@ -19,7 +19,10 @@
 
 NO_HOST = HostId("")
 TOKENS_PER_TICK = 16
-"""Tokens reserved per tick for changes of the holder; each outlasts a lease."""
+"""Tokens reserved per tick of 0.1 s for changes of the holder.
+
+Each change takes longer than a lease, so few of them fall in one tick.
+"""
 
 TICKS_PER_S = 10
 TICKS_PER_REVISION = 1 << 28
--- a/packages/core/src/sardinequay_core/rollout.py
+++ b/packages/core/src/sardinequay_core/rollout.py
@@ -1,4 +1,7 @@
-"""Selection of the bundle in force: the newest verified one, never an older one."""
+"""Selection of the bundle in force: the newest verified one, never an older one.
+
+A root is checked in the same way whether the configuration service or a peer offers it.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum
--- a/packages/core/src/sardinequay_core/usage_view.py
+++ b/packages/core/src/sardinequay_core/usage_view.py
@@ -265,7 +265,7 @@
         return UsageFlow(asked, admitted)
 
     def max_report_age(self, now: Instant) -> timedelta:
-        """Return the age of the oldest latest report of a peer."""
+        """Return the time since the last report of the peer that was silent longest."""
         oldest = min((s.reported_at for s in self.sources.values()), default=now)
         return max(ZERO, now - oldest)
 
--- a/packages/core/src/sardinequay_core/views.py
+++ b/packages/core/src/sardinequay_core/views.py
@@ -16,7 +16,8 @@
 MIN_GUARDS = 3
 """Minimum number of guards, so that one can fail.
 
-A data centre with fewer hosts uses hosts of other data centres as additional guards.
+A data centre with fewer hosts uses hosts of the next data centres in cyclic name order
+as additional guards.
 """
 HOME_SEPARATOR = "~"
 
@@ -73,7 +74,10 @@
 def first_ranked_hosts(
     hosts: dict[HostId, EntryHost], data_centre: DataCentre, count: int
 ) -> list[EntryHost]:
-    """Return the `count` highest-ranked hosts of a data centre."""
+    """Return the `count` highest-ranked hosts of a data centre.
+
+    They are ranked for their own data centre's name, also as guards of another one.
+    """
     local = [h for h in hosts if hosts[h].data_centre == data_centre]
     return [
         hosts[HostId(h)] for h in rank_members(f"guards/{data_centre}", local)[:count]
