--- a/packages/core/src/sardinequay_core/claims.py
+++ b/packages/core/src/sardinequay_core/claims.py
@@ -274,7 +274,10 @@
             self.enter_view(view)
 
     def enter_view(self, view: View) -> None:
-        """Make a view the active one; a read of the list confirms it separately."""
+        """Make a view the active one, in which this guard votes from now on.
+
+        Only a read of the platform's list confirms that the view is listed.
+        """
         self.has_full_memory = True
         self.active_view = self.base_view = view
         self.lowest_allowed_view = max(self.lowest_allowed_view, view.number)
--- a/packages/core/src/sardinequay_core/load_times.py
+++ b/packages/core/src/sardinequay_core/load_times.py
@@ -89,12 +89,12 @@
         self.recent = dict.fromkeys(recent)
 
     def record_waiting_load(self, now: Instant) -> None:
-        """Record that a load waits for a place on the full engine."""
+        """Record that a load waits for an adapter slot on the full engine."""
         if self.full_since is None:
             self.full_since = now
 
     def record_place_taken(self, has_waiting_load: bool, now: Instant) -> None:
-        """Update the time between two loads when a waiting load gets a place."""
+        """Update the time between two loads when a waiting load gets a slot."""
         waiting_since, self.full_since = (
             self.full_since,
             now if has_waiting_load else None,
--- a/packages/core/src/sardinequay_core/serving.py
+++ b/packages/core/src/sardinequay_core/serving.py
@@ -119,7 +119,7 @@
     weight_mb : float
         Memory for models and adapters together, in megabytes.
     adapter_slots : int
-        Places for adapters, those being loaded included.
+        Slots for adapters, including those being loaded.
     loads_per_s : float
         Models that the weight store delivers a second, over all engines.
     """
@@ -135,7 +135,7 @@
         """Return how many adapters fit beside the models that an engine holds.
 
         An engine that is ordered to hold more than its memory allows crashes, so memory
-        limits the adapters where it is scarcer than the places.
+        limits the adapters where it is scarcer than the adapter slots.
         """
         models = [m for m in self.models if m.name in held]
         largest_mb = max((m.adapter_mb for m in models), default=0.0)
--- a/packages/core/src/sardinequay_core/target_choice.py
+++ b/packages/core/src/sardinequay_core/target_choice.py
@@ -1,8 +1,8 @@
 """Choice of an engine for a model request: one with its adapter, or one to load it.
 
-Load pattern: a few engines with few adapter places, steeply skewed demand, and prompt
+Load pattern: a few engines with few adapter slots, steeply skewed demand, and prompt
 processing as the bottleneck. An adapter stays on as few engines as its load needs,
-since each extra copy costs a load from the weight store and a place. An extra copy is
+since each extra copy costs a load from the weight store and a slot. An extra copy is
 made only when queueing at the engines that have the adapter costs more than loading it.
 A request whose first event cannot come within its remaining time is refused at once.
 """
@@ -23,7 +23,7 @@
 
 EXTRA_COPY_COST_S = 2.0
 """Waiting time that an extra copy of an adapter must save to justify a cold load and an
-adapter place, in seconds: there are fewer places than adapters in demand."""
+adapter slot, in seconds: there are fewer slots than adapters in demand."""
 
 EXTRA_WARM_COPY_COST_S = 0.1
 """The same cost on an engine that had the adapter recently and loads it from memory."""
@@ -38,7 +38,7 @@
 
 ALL_IN_USE_WAIT_S = 0.2
 """Expected wait until one of the adapters in use becomes idle, in seconds, in addition
-to the queue for places."""
+to the queue for slots."""
 
 FAILED_ENGINE_PENALTY_S = 0.5
 """Penalty for an engine that failed this request or did not get its adapter in time, in
@@ -88,7 +88,7 @@
     loaded_in_s : float
         Expected time until an adapter that is being loaded is resident, in seconds.
     free_places : int
-        Free adapter places.
+        Free adapter slots.
     idle_adapters : int
         Resident adapters that no known request uses.
     home_rank : int
@@ -98,7 +98,7 @@
     keeper_wait_s : float
         Time until its keeper may order loads, in seconds; a new keeper waits first.
     queued : int
-        Adapters that wait for a place on the engine.
+        Adapters that wait for a slot on the engine.
     turnover_s : float
         Time between two loads while the engine is full, in seconds.
     keeper_estimate_s : float or None
--- a/packages/core/src/sardinequay_core/view_join.py
+++ b/packages/core/src/sardinequay_core/view_join.py
@@ -207,7 +207,11 @@
         )
 
     def are_other_guards_expired(self, now: Instant) -> bool:
-        """Return whether all other guards stopped voting and their claims expired."""
+        """Return whether all claims granted by other sets of guards have expired.
+
+        Guards outside the target view stop voting once the platform's list has not
+        named them for long enough.
+        """
         policy = self.policy
         since = self.guard.listed_since(self.target.guards)
         wait = policy.max_list_lag + policy.listing_timeout + policy.retention
