--- a/packages/core/src/sardinequay_core/claims.py
+++ b/packages/core/src/sardinequay_core/claims.py
@@ -2,9 +2,9 @@
 
 Before a host dispatches such a request, it claims the request's key at a majority of
 the guards of the key's home data centre. Any two majorities of one view overlap, so at
-most one attempt wins. `view_join` implements the change
-from one view to the next and the recovery of guards that lost all their state;
-docs/design/at-most-once.md gives the argument for its safety.
+most one attempt wins. `view_join` implements the change from one view to the next and
+the recovery of guards that lost all their state; docs/design/at-most-once.md gives the
+argument for its safety.
 
 Claims are soft state: they are held in memory and expire after `ClaimPolicy.retention`
 without any cleanup by the claimant.
@@ -274,7 +274,10 @@
             self.enter_view(view)
 
     def enter_view(self, view: View) -> None:
-        """Make a view the active one; a read of the list confirms it separately."""
+        """Make a view the active one, in which this guard votes from now on.
+
+        Only a read of the platform's list confirms that the view is listed.
+        """
         self.has_full_memory = True
         self.active_view = self.base_view = view
         self.lowest_allowed_view = max(self.lowest_allowed_view, view.number)
--- a/packages/core/src/sardinequay_core/load_times.py
+++ b/packages/core/src/sardinequay_core/load_times.py
@@ -71,7 +71,8 @@
     def record_late_load(self, adapter: AdapterRef) -> None:
         """Raise the expected time of cold loads after a late load.
 
-        The adapter is no longer expected in the engine's memory.
+        A late load came from the weight store, so the adapter no longer counts as
+        loadable from the engine's memory.
         """
         self.cold_load_s = min(MAX_COLD_LOAD_S, self.cold_load_s * COLD_GROWTH)
         self.recent.pop(adapter, None)
@@ -88,12 +89,12 @@
         self.recent = dict.fromkeys(recent)
 
     def record_waiting_load(self, now: Instant) -> None:
-        """Record that a load waits for a place on the full engine."""
+        """Record that a load waits for an adapter slot on the full engine."""
         if self.full_since is None:
             self.full_since = now
 
     def record_place_taken(self, has_waiting_load: bool, now: Instant) -> None:
-        """Update the time between two loads when a waiting load gets a place."""
+        """Update the time between two loads when a waiting load gets a slot."""
         waiting_since, self.full_since = (
             self.full_since,
             now if has_waiting_load else None,
