--- a/packages/cli/src/sardinequay_cli/bundle_verbs.py
+++ b/packages/cli/src/sardinequay_cli/bundle_verbs.py
@@ -23,32 +23,32 @@
 
 from .errors import EXIT_FINDINGS, EXIT_REFUSED, CommandError
 from .files import (
-    ROOT_NAME,
-    public_hex,
+    ROOT_FILE_NAME,
+    public_key_hex,
+    read_approval_policy,
     read_blobs,
     read_bytes,
     read_contents,
     read_private_key,
-    read_signed,
-    read_trust,
+    read_signed_root,
+    write_atomically,
     write_blobs,
     write_private_key,
-    write_signed,
-    write_whole,
+    write_signed_root,
 )
 from .output import Output
 
 
-def keygen(arguments: Namespace) -> Output:
+def make_key_verb(arguments: Namespace) -> Output:
     """Make an approver's key."""
     key = Ed25519PrivateKey.generate()
     write_private_key(arguments.key, key)
-    public = public_hex(key)
+    public = public_key_hex(key)
     lines = (f"private key: {arguments.key}", f"public key: {public}")
     return Output(lines, {"private_key": str(arguments.key), "public_key": public})
 
 
-def report_findings(findings: Sequence[Finding]) -> Output:
+def findings_output(findings: Sequence[Finding]) -> Output:
     """Return faults as output, with the exit code that says whether there are any."""
     lines = tuple(str(f) for f in findings) or ("no findings",)
     document = {
@@ -66,7 +66,7 @@
     if not findings:
         built = build_bundle(contents, 1)
         findings = lint_sizes(built, len(encode_signed_root(SignedRoot(built.root))))
-    return report_findings(findings)
+    return findings_output(findings)
 
 
 def build_verb(arguments: Namespace) -> Output:
@@ -74,11 +74,11 @@
     contents = read_contents(arguments.contents)
     findings = lint_contents(contents)
     if findings:
-        return report_findings(findings)
+        return findings_output(findings)
     built = build_bundle(contents, arguments.version, arguments.note)
     write_blobs(arguments.out, built.blobs)
     signed = SignedRoot(built.root)
-    write_signed(arguments.out / ROOT_NAME, signed)
+    write_signed_root(arguments.out / ROOT_FILE_NAME, signed)
     size = sum(len(blob) for blob in built.blobs.values())
     digest = root_digest(built.root)
     line = f"version {arguments.version}, {len(built.blobs)} blobs, {size} bytes"
@@ -93,11 +93,18 @@
 
 def diff_verb(arguments: Namespace) -> Output:
     """Show what changes from one file of contents to another."""
-    found = diff_contents(read_contents(arguments.old), read_contents(arguments.new))
-    lines = tuple(str(d) for d in found) or ("no differences",)
+    differences = diff_contents(
+        read_contents(arguments.old), read_contents(arguments.new)
+    )
+    lines = tuple(str(difference) for difference in differences) or ("no differences",)
     document = {
         "differences": [
-            {"where": d.where, "change": d.change, "details": d.details} for d in found
+            {
+                "where": difference.where,
+                "change": difference.change,
+                "details": difference.details,
+            }
+            for difference in differences
         ]
     }
     return Output(lines, document)
@@ -105,33 +112,37 @@
 
 def sign_verb(arguments: Namespace) -> Output:
     """Add one approval to a root."""
-    signed = read_signed(arguments.root)
+    signed = read_signed_root(arguments.root)
     key = read_private_key(arguments.key)
     signed = add_approval(signed, arguments.key_id, key)
-    write_signed(arguments.root, signed)
-    names = [a.key_id for a in signed.approvals]
-    line = f"version {signed.root.version} approved by {', '.join(names)}"
-    document = {"version": signed.root.version, "approvals": names}
+    write_signed_root(arguments.root, signed)
+    key_ids = [a.key_id for a in signed.approvals]
+    line = f"version {signed.root.version} approved by {', '.join(key_ids)}"
+    document = {"version": signed.root.version, "approvals": key_ids}
     return Output((line,), document)
 
 
-def check_whole(root: Path, blobs: Path, settings: Path) -> tuple[SignedRoot, Bundle]:
+def verify_bundle(root: Path, blobs: Path, settings: Path) -> tuple[SignedRoot, Bundle]:
     """Return a bundle that hosts with these settings would put in force."""
-    verified = verify_signed_root(read_bytes(root), read_trust(settings))
+    verified = verify_signed_root(read_bytes(root), read_approval_policy(settings))
     if not isinstance(verified, Success):
         raise CommandError(f"refused: {verified.failure()}", EXIT_REFUSED)
     signed = verified.unwrap()
-    made = assemble_bundle(signed.root, root_digest(signed.root), read_blobs(blobs))
-    if not isinstance(made, Success):
-        raise CommandError(f"refused: {made.failure()}", EXIT_REFUSED)
-    return signed, made.unwrap()
+    assembled = assemble_bundle(
+        signed.root, root_digest(signed.root), read_blobs(blobs)
+    )
+    if not isinstance(assembled, Success):
+        raise CommandError(f"refused: {assembled.failure()}", EXIT_REFUSED)
+    return signed, assembled.unwrap()
 
 
 def verify_verb(arguments: Namespace) -> Output:
     """Check approvals and completeness as a host would."""
     blobs = arguments.blobs or arguments.root.parent
-    signed, bundle = check_whole(arguments.root, blobs, arguments.settings)
-    approvers = sorted(valid_approvers(signed, read_trust(arguments.settings)))
+    signed, bundle = verify_bundle(arguments.root, blobs, arguments.settings)
+    approvers = sorted(
+        valid_approvers(signed, read_approval_policy(arguments.settings))
+    )
     line = f"version {bundle.version} is good: approved by {', '.join(approvers)}"
     document = {
         "version": bundle.version,
@@ -145,21 +156,21 @@
 def roll_verb(arguments: Namespace) -> Output:
     """Place a good, newer bundle where the platform publishes from."""
     blobs = arguments.blobs or arguments.root.parent
-    signed, bundle = check_whole(arguments.root, blobs, arguments.settings)
-    published = arguments.publish / ROOT_NAME
+    signed, bundle = verify_bundle(arguments.root, blobs, arguments.settings)
+    published = arguments.publish / ROOT_FILE_NAME
     if published.exists():
-        verdict = compare_roots(signed.root, read_signed(published).root)
-        if verdict is not RootComparison.NEWER:
-            message = f"refused: {verdict.value} beside the published version"
+        comparison = compare_roots(signed.root, read_signed_root(published).root)
+        if comparison is not RootComparison.NEWER:
+            message = f"refused: {comparison.value} beside the published version"
             raise CommandError(message, EXIT_REFUSED)
     needed = {
         signed.root.base,
         *signed.root.index,
         *(leaf.digest for leaf in bundle.leaves),
     }
-    have = read_blobs(blobs)
+    available = read_blobs(blobs)
     # The root goes last: whoever sees it finds every blob that it names.
-    write_blobs(arguments.publish, {d: have[d] for d in needed})
-    write_whole(published, encode_signed_root(signed))
+    write_blobs(arguments.publish, {digest: available[digest] for digest in needed})
+    write_atomically(published, encode_signed_root(signed))
     document = {"version": bundle.version, "digest": bundle.digest}
     return Output((f"version {bundle.version} is to be published",), document)
--- a/packages/cli/src/sardinequay_cli/files.py
+++ b/packages/cli/src/sardinequay_cli/files.py
@@ -24,8 +24,8 @@
 from .errors import EXIT_REFUSED, EXIT_USAGE, CommandError
 
 T = TypeVar("T")
-ROOT_NAME = "root"
-PRIVATE_MODE = 0o600
+ROOT_FILE_NAME = "root"
+PRIVATE_KEY_MODE = 0o600
 
 
 def read_bytes(path: Path) -> bytes:
@@ -45,7 +45,7 @@
         raise CommandError(f"{path}: {error}", EXIT_USAGE) from error
 
 
-def read_signed(path: Path) -> SignedRoot:
+def read_signed_root(path: Path) -> SignedRoot:
     """Read a root with the approvals it has so far."""
     parsed = parse_signed_root(read_bytes(path))
     if not isinstance(parsed, Success):
@@ -54,18 +54,18 @@
     return signed
 
 
-def write_signed(path: Path, signed: SignedRoot) -> None:
+def write_signed_root(path: Path, signed: SignedRoot) -> None:
     """Write a root with its approvals so that a reader sees the old or the new one."""
-    write_whole(path, encode_signed_root(signed))
+    write_atomically(path, encode_signed_root(signed))
 
 
-def write_whole(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Write a file that appears whole or not at all."""
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
-        part = path.with_name(path.name + ".part")
-        part.write_bytes(data)
-        part.replace(path)
+        temporary = path.with_name(path.name + ".part")
+        temporary.write_bytes(data)
+        temporary.replace(path)
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
 
@@ -84,10 +84,10 @@
     for digest, blob in blobs.items():
         path = directory / digest
         if not path.exists():
-            write_whole(path, blob)
+            write_atomically(path, blob)
 
 
-def read_trust(path: Path) -> ApprovalPolicy:
+def read_approval_policy(path: Path) -> ApprovalPolicy:
     """Read the approvers' keys and the threshold from a host's settings."""
     settings = read_host_settings(path)
     return ApprovalPolicy(settings.trust.keys, settings.trust.threshold)
@@ -95,10 +95,10 @@
 
 def read_host_settings(path: Path) -> Settings:
     """Read a host's settings."""
-    read = read_settings(path)
-    if not isinstance(read, Success):
-        raise CommandError(str(read.failure()), EXIT_USAGE)
-    settings: Settings = read.unwrap()
+    result = read_settings(path)
+    if not isinstance(result, Success):
+        raise CommandError(str(result.failure()), EXIT_USAGE)
+    settings: Settings = result.unwrap()
     return settings
 
 
@@ -124,13 +124,13 @@
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
-        with os.fdopen(os.open(path, flags, PRIVATE_MODE), "wb") as file:
+        with os.fdopen(os.open(path, flags, PRIVATE_KEY_MODE), "wb") as file:
             file.write(data)
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
 
 
-def public_hex(key: Ed25519PrivateKey) -> str:
+def public_key_hex(key: Ed25519PrivateKey) -> str:
     """Return the public key as settings name it."""
     raw = key.public_key().public_bytes(
         serialization.Encoding.Raw, serialization.PublicFormat.Raw
--- a/packages/cli/src/sardinequay_cli/fleet_verbs.py
+++ b/packages/cli/src/sardinequay_cli/fleet_verbs.py
@@ -19,8 +19,8 @@
 from .files import read_host_settings
 from .output import Output
 
-TIMEOUT_S = 5.0
-READERS = "sardinequay.settings"
+REQUEST_TIMEOUT_S = 5.0
+SETTINGS_READER_GROUP = "sardinequay.settings"
 """Entry points that read settings files, named by the files' ending."""
 
 
@@ -33,7 +33,7 @@
     error: str = ""
 
 
-async def ask(
+async def request_host(
     session: aiohttp.ClientSession, address: str, path: str, method: str
 ) -> HostAnswer:
     """Ask one host's operators' listener."""
@@ -44,61 +44,63 @@
         return HostAnswer(address, error=type(error).__name__)
 
 
-async def ask_all(
+async def request_all_hosts(
     addresses: list[str], path: str, method: str = "GET"
 ) -> list[HostAnswer]:
     """Ask all hosts at once."""
-    timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        asks = [ask(session, address, path, method) for address in addresses]
-        return list(await asyncio.gather(*asks))
+        requests = [
+            request_host(session, address, path, method) for address in addresses
+        ]
+        return list(await asyncio.gather(*requests))
 
 
-def settings_check(arguments: Namespace) -> Output:
+def settings_check_verb(arguments: Namespace) -> Output:
     """Check a host's settings, in JSON or in the form of an installed deployment."""
-    host_id = checked_host_id(arguments.settings)
+    host_id = check_settings_file(arguments.settings)
     line = f"settings of {host_id} are good"
     return Output((line,), {"host": host_id, "good": True})
 
 
-def checked_host_id(path: Path) -> str:
+def check_settings_file(path: Path) -> str:
     """Check a settings file and return whose it is.
 
     Deployments whose settings have another form register a reader for the file's
     ending; the command itself knows none of them.
     """
-    ending = path.suffix.removeprefix(".")
-    for reader in entry_points(group=READERS):
-        if reader.name != ending:
+    extension = path.suffix.removeprefix(".")
+    for reader in entry_points(group=SETTINGS_READER_GROUP):
+        if reader.name != extension:
             continue
-        read = reader.load()(path)
-        if isinstance(read, Success):
-            return str(read.unwrap().host_id)
-        raise CommandError(str(read.failure()), EXIT_USAGE)
+        result = reader.load()(path)
+        if isinstance(result, Success):
+            return str(result.unwrap().host_id)
+        raise CommandError(str(result.failure()), EXIT_USAGE)
     return str(read_host_settings(path).host_id)
 
 
-def status(arguments: Namespace) -> Output:
+def status_verb(arguments: Namespace) -> Output:
     """Show what is in force, host by host."""
-    answers = asyncio.run(ask_all(arguments.hosts, "/v1/status"))
+    answers = asyncio.run(request_all_hosts(arguments.hosts, "/v1/status"))
     lines = tuple(status_line(answer) for answer in answers)
-    versions = {version_of(a.body) for a in answers if a.body}
+    versions = {version_in_force(a.body) for a in answers if a.body}
     document = {
         "hosts": [
             a.body or {"address": a.address, "unreachable": a.error} for a in answers
         ],
         "agreed": len(versions) == 1 and all(a.body for a in answers),
     }
-    return Output(lines, document, exit_code_of(answers))
+    return Output(lines, document, reachability_exit_code(answers))
 
 
-def version_of(body: dict[str, Any]) -> int:
+def version_in_force(body: dict[str, Any]) -> int:
     """Return the version in force, of a bundle or of a configuration."""
     version: int = body.get("bundle_version", body.get("config_version", 0))
     return version
 
 
-def exit_code_of(answers: list[HostAnswer]) -> int:
+def reachability_exit_code(answers: list[HostAnswer]) -> int:
     """Return the exit code that says whether every host answered."""
     return EXIT_UNREACHABLE if any(a.body is None for a in answers) else 0
 
@@ -126,10 +128,10 @@
     )
 
 
-def explain(arguments: Namespace) -> Output:
+def explain_verb(arguments: Namespace) -> Output:
     """Show what the fleet remembers of a request, a load or an eviction."""
     path = f"/v1/explain/{arguments.id}"
-    answers = asyncio.run(ask_all(arguments.hosts, path))
+    answers = asyncio.run(request_all_hosts(arguments.hosts, path))
     lines: list[str] = []
     entries: list[dict[str, Any]] = []
     for answer in answers:
@@ -139,13 +141,13 @@
             entries.append({"address": answer.address, **entry})
     found = bool(entries)
     text = tuple(sorted(lines)) or (f"nothing is remembered of {arguments.id}",)
-    code = exit_code_of(answers) if found else EXIT_FINDINGS
+    code = reachability_exit_code(answers) if found else EXIT_FINDINGS
     return Output(text, {"id": arguments.id, "entries": entries}, code)
 
 
-def quarantine(arguments: Namespace) -> Output:
+def quarantine_verb(arguments: Namespace) -> Output:
     """Show the contents of requests that hosts hold, and the targets that ended."""
-    answers = asyncio.run(ask_all(arguments.hosts, "/v1/status"))
+    answers = asyncio.run(request_all_hosts(arguments.hosts, "/v1/status"))
     lines: list[str] = []
     entries: list[dict[str, Any]] = []
     for answer in answers:
@@ -161,15 +163,15 @@
             )
             entries.append({"host": answer.body["host"], **held})
     text = tuple(lines) or ("nothing is held",)
-    return Output(text, {"quarantined": entries}, exit_code_of(answers))
+    return Output(text, {"quarantined": entries}, reachability_exit_code(answers))
 
 
-def lift(arguments: Namespace) -> Output:
+def lift_verb(arguments: Namespace) -> Output:
     """Let requests of a content run again; the hosts asked tell all others."""
     path = f"/v1/quarantine/{arguments.content}"
-    answers = asyncio.run(ask_all(arguments.hosts, path, "DELETE"))
+    answers = asyncio.run(request_all_hosts(arguments.hosts, path, "DELETE"))
     lifted = any(a.body and a.body.get("lifted") for a in answers)
     text = "lifted" if lifted else "under no suspicion there"
-    code = exit_code_of(answers) if lifted else EXIT_FINDINGS
+    code = reachability_exit_code(answers) if lifted else EXIT_FINDINGS
     document = {"content": arguments.content, "lifted": lifted}
     return Output((f"{arguments.content}  {text}",), document, code)
--- a/packages/cli/src/sardinequay_cli/log_lines.py
+++ b/packages/cli/src/sardinequay_cli/log_lines.py
@@ -9,7 +9,7 @@
 
 from .errors import EXIT_USAGE, CommandError
 
-HIDDEN = frozenset({"time", "level", "event", "host", "request"})
+STANDARD_KEYS = frozenset({"time", "level", "event", "host", "request"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,13 +22,13 @@
     request: str
     fields: dict[str, Any]
 
-    def text(self) -> str:
+    def format_text(self) -> str:
         """Return the line for people."""
         details = "  ".join(f"{k}={v}" for k, v in self.fields.items())
         return f"{self.time}  {self.host}  {self.event}  {details}"
 
 
-def parse_line(text: str) -> LogLine | None:
+def parse_log_line(text: str) -> LogLine | None:
     """Read one line; None if it is no log line of a host.
 
     What a collector wrote before the JSON object is passed over.
@@ -37,32 +37,34 @@
     if start < 0:
         return None
     try:
-        found = json.loads(text[start:])
+        record = json.loads(text[start:])
     except ValueError:
         return None
-    if not isinstance(found, dict) or "event" not in found:
+    if not isinstance(record, dict) or "event" not in record:
         return None
-    fields = {k: v for k, v in found.items() if k not in HIDDEN}
+    fields = {k: v for k, v in record.items() if k not in STANDARD_KEYS}
     return LogLine(
-        str(found.get("time", "")),
-        str(found.get("host", "")),
-        str(found["event"]),
-        str(found.get("request", "")),
+        str(record.get("time", "")),
+        str(record.get("host", "")),
+        str(record["event"]),
+        str(record.get("request", "")),
         fields,
     )
 
 
-def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
+def read_log_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
     """Read the log lines of all files."""
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
-                yield from (p for p in map(parse_line, file) if p is not None)
+                yield from (
+                    line for line in map(parse_log_line, file) if line is not None
+                )
         except OSError as error:
             raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
 
 
-def moment(text: str) -> datetime:
+def parse_time(text: str) -> datetime:
     """Return the time of a line; the beginning of time if it has none."""
     try:
         return datetime.fromisoformat(text.replace(",", "."))
--- a/packages/cli/src/sardinequay_cli/loss_report.py
+++ b/packages/cli/src/sardinequay_cli/loss_report.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from .log_lines import LogLine, moment
+from .log_lines import LogLine, parse_time
 
-ENDS = frozenset({"answered", "refused", "cut off"})
-LONG_PAUSE = timedelta(seconds=1)
+END_EVENTS = frozenset({"answered", "refused", "cut off"})
+MIN_PAUSE = timedelta(seconds=1)
 """Engines that are waited for get an order each few tenths of a second; a longer pause
 means that nobody ordered them."""
 
@@ -54,7 +54,7 @@
     pauses: tuple[OrderPause, ...]
 
 
-def report_of(lines: Iterable[LogLine]) -> LossReport:
+def compute_loss_report(lines: Iterable[LogLine]) -> LossReport:
     """Return where service was lost."""
     requests: dict[str, list[LogLine]] = defaultdict(list)
     orders: list[LogLine] = []
@@ -64,20 +64,20 @@
         elif line.event == "order":
             orders.append(line)
     orders.sort(key=lambda line: line.time)
-    loads = [o for o in orders if is_load(o)]
-    unused = count_unused(loads, orders, uses_of(requests.values()))
-    by_organisation = losses_by("organisation", requests.values())
+    loads = [o for o in orders if is_accepted_load(o)]
+    unused = count_unused_loads(loads, orders, use_times(requests.values()))
+    by_organisation = count_losses("organisation", requests.values())
     by_organisation.pop("", None)
     return LossReport(
-        losses_by("route", requests.values()),
+        count_losses("route", requests.values()),
         by_organisation,
         len(loads),
         unused,
-        tuple(pauses_of(orders)),
+        tuple(find_order_pauses(orders)),
     )
 
 
-def is_load(order: LogLine) -> bool:
+def is_accepted_load(order: LogLine) -> bool:
     """Return whether an order to load an adapter was accepted."""
     return (
         order.fields.get("kind") == "LoadAdapter"
@@ -85,26 +85,30 @@
     )
 
 
-def losses_by(
+def count_losses(
     field_name: str, requests: Iterable[Sequence[LogLine]]
 ) -> dict[str, Losses]:
     """Return how requests ended, by a field of the line that tells their end."""
-    found: dict[str, Losses] = {}
+    losses_by_value: dict[str, Losses] = {}
     for lines in requests:
-        end = next((x for x in reversed(lines) if x.event in ENDS), None)
+        end = next(
+            (entry for entry in reversed(lines) if entry.event in END_EVENTS), None
+        )
         if end is None:
             continue
-        losses = found.setdefault(str(end.fields.get(field_name, "")), Losses())
+        losses = losses_by_value.setdefault(
+            str(end.fields.get(field_name, "")), Losses()
+        )
         losses.asked += 1
-        cause = cause_of(lines, end)
+        cause = loss_cause(lines, end)
         if cause:
             losses.causes[cause] = losses.causes.get(cause, 0) + 1
         else:
             losses.on_time += 1
-    return found
+    return losses_by_value
 
 
-def cause_of(lines: Sequence[LogLine], end: LogLine) -> str:
+def loss_cause(lines: Sequence[LogLine], end: LogLine) -> str:
     """Return why a request was not answered on time; empty if it was."""
     if end.event == "refused":
         return "refused: " + str(end.fields.get("detail", "")).partition(",")[0]
@@ -116,58 +120,62 @@
     first_s, goal_s = end.fields.get("first_s", 0.0), end.fields.get("goal_s", 0.0)
     if not goal_s or first_s <= goal_s:
         return ""
-    sent = [x for x in lines if x.event == "target chosen"]
+    sent = [entry for entry in lines if entry.event == "target chosen"]
     waited_s = float(sent[-1].fields.get("waited_s", 0.0)) if sent else 0.0
     return "late: before an engine" if waited_s > first_s / 2 else "late: at the engine"
 
 
-Held = tuple[str, str]
+EngineAdapter = tuple[str, str]
 
 
-def uses_of(requests: Iterable[Sequence[LogLine]]) -> dict[Held, list[datetime]]:
+def use_times(
+    requests: Iterable[Sequence[LogLine]],
+) -> dict[EngineAdapter, list[datetime]]:
     """Return when requests were sent to each engine for each adapter."""
-    uses: dict[Held, list[datetime]] = defaultdict(list)
+    uses: dict[EngineAdapter, list[datetime]] = defaultdict(list)
     for lines in requests:
         for line in lines:
             if line.event == "target chosen" and line.fields.get("adapter"):
-                uses[held_of(line, "adapter")].append(moment(line.time))
+                uses[engine_adapter(line, "adapter")].append(parse_time(line.time))
     return uses
 
 
-def held_of(line: LogLine, name: str) -> Held:
+def engine_adapter(line: LogLine, name: str) -> EngineAdapter:
     """Return the engine and the adapter, without its version, that a line names."""
     adapter = str(line.fields.get(name, "")).partition("@")[0]
     return str(line.fields.get("target", "")), adapter
 
 
-def count_unused(
+def count_unused_loads(
     loads: Sequence[LogLine],
     orders: Sequence[LogLine],
-    uses: dict[Held, list[datetime]],
+    uses: dict[EngineAdapter, list[datetime]],
 ) -> int:
     """Return how many loads no request used before the adapter was dropped."""
-    drops: dict[Held, list[datetime]] = defaultdict(list)
+    drops: dict[EngineAdapter, list[datetime]] = defaultdict(list)
     for order in orders:
         if order.fields.get("kind") == "UnloadAdapter":
-            drops[held_of(order, "subject")].append(moment(order.time))
+            drops[engine_adapter(order, "subject")].append(parse_time(order.time))
     unused = 0
     for load in loads:
-        held, began = held_of(load, "subject"), moment(load.time)
-        ended = min((d for d in drops[held] if d > began), default=datetime.max)
-        if not any(began <= used <= ended for used in uses[held]):
+        pair, loaded_at = engine_adapter(load, "subject"), parse_time(load.time)
+        dropped_at = min(
+            (drop for drop in drops[pair] if drop > loaded_at), default=datetime.max
+        )
+        if not any(loaded_at <= use <= dropped_at for use in uses[pair]):
             unused += 1
     return unused
 
 
-def pauses_of(orders: Iterable[LogLine]) -> Iterable[OrderPause]:
+def find_order_pauses(orders: Iterable[LogLine]) -> Iterable[OrderPause]:
     """Return long spans without an order to an engine that more than one waited for."""
-    last: dict[str, LogLine] = {}
+    last_orders: dict[str, LogLine] = {}
     for order in orders:
         target = str(order.fields.get("target", ""))
-        before = last.get(target)
-        last[target] = order
-        if before is None or order.fields.get("wanted", 0) < 2:
+        previous = last_orders.get(target)
+        last_orders[target] = order
+        if previous is None or order.fields.get("wanted", 0) < 2:
             continue
-        lasted = moment(order.time) - moment(before.time)
-        if lasted >= LONG_PAUSE:
-            yield OrderPause(target, before.time, round(lasted.total_seconds(), 2))
+        duration = parse_time(order.time) - parse_time(previous.time)
+        if duration >= MIN_PAUSE:
+            yield OrderPause(target, previous.time, round(duration.total_seconds(), 2))
--- a/packages/cli/src/sardinequay_cli/main.py
+++ b/packages/cli/src/sardinequay_cli/main.py
@@ -19,21 +19,21 @@
 Verb = Callable[[argparse.Namespace], Output]
 
 
-def parser() -> argparse.ArgumentParser:
+def make_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    made = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         prog="sardinequay",
         description="Prepare bundles, and ask a fleet what it has in force.",
         epilog="Exit codes: 0 done, 1 findings, 2 usage, 3 refused, 4 unreachable.",
     )
-    made.add_argument("--json", action="store_true", help="print one JSON document")
-    groups = made.add_subparsers(dest="group", required=True, metavar="GROUP")
-    add_keys(groups)
-    add_bundle(groups)
-    add_settings(groups)
-    add_fleet(groups)
-    add_logs(groups)
-    return made
+    parser.add_argument("--json", action="store_true", help="print one JSON document")
+    groups = parser.add_subparsers(dest="group", required=True, metavar="GROUP")
+    add_key_verbs(groups)
+    add_bundle_verbs(groups)
+    add_settings_verbs(groups)
+    add_fleet_verbs(groups)
+    add_log_verbs(groups)
+    return parser
 
 
 def add_verb(
@@ -43,108 +43,118 @@
 ) -> argparse.ArgumentParser:
     """Add a verb whose help is its docstring."""
     text = (verb.__doc__ or "").strip()
-    made: argparse.ArgumentParser = verbs.add_parser(name, help=text, description=text)
-    made.set_defaults(verb=verb)
-    return made
+    verb_parser: argparse.ArgumentParser = verbs.add_parser(
+        name, help=text, description=text
+    )
+    verb_parser.set_defaults(verb=verb)
+    return verb_parser
 
 
-def add_keys(
+def add_key_verbs(
     groups: SubParsers,
 ) -> None:
     """Add the verbs of keys."""
     text = "Keys of approvers."
     group = groups.add_parser("key", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
-    made = add_verb(verbs, "make", bundle_verbs.keygen)
-    made.add_argument("key", type=Path, help="where the private key is to go")
+    verb_parser = add_verb(verbs, "make", bundle_verbs.make_key_verb)
+    verb_parser.add_argument("key", type=Path, help="where the private key is to go")
 
 
-def add_bundle(
+def add_bundle_verbs(
     groups: SubParsers,
 ) -> None:
     """Add the verbs of bundles."""
     text = "Bundles: what is offered, to whom, and by which policy."
     group = groups.add_parser("bundle", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
-    made = add_verb(verbs, "lint", bundle_verbs.lint_verb)
-    made.add_argument("contents", type=Path, help="what is offered, in JSON")
-    made = add_verb(verbs, "build", bundle_verbs.build_verb)
-    made.add_argument("contents", type=Path, help="what is offered, in JSON")
-    made.add_argument("--version", type=positive, required=True, help="from 1, rising")
-    made.add_argument("--note", default="", help="a word for those who approve")
-    made.add_argument("--out", type=Path, required=True, help="a directory")
-    made = add_verb(verbs, "diff", bundle_verbs.diff_verb)
-    made.add_argument("old", type=Path, help="contents, in JSON")
-    made.add_argument("new", type=Path, help="contents, in JSON")
-    made = add_verb(verbs, "sign", bundle_verbs.sign_verb)
-    made.add_argument("root", type=Path, help="the root to approve, rewritten")
-    made.add_argument("--key", type=Path, required=True, help="a private key")
-    made.add_argument("--key-id", required=True, help="its name in the settings")
+    verb_parser = add_verb(verbs, "lint", bundle_verbs.lint_verb)
+    verb_parser.add_argument("contents", type=Path, help="what is offered, in JSON")
+    verb_parser = add_verb(verbs, "build", bundle_verbs.build_verb)
+    verb_parser.add_argument("contents", type=Path, help="what is offered, in JSON")
+    verb_parser.add_argument(
+        "--version", type=positive_int, required=True, help="from 1, rising"
+    )
+    verb_parser.add_argument("--note", default="", help="a word for those who approve")
+    verb_parser.add_argument("--out", type=Path, required=True, help="a directory")
+    verb_parser = add_verb(verbs, "diff", bundle_verbs.diff_verb)
+    verb_parser.add_argument("old", type=Path, help="contents, in JSON")
+    verb_parser.add_argument("new", type=Path, help="contents, in JSON")
+    verb_parser = add_verb(verbs, "sign", bundle_verbs.sign_verb)
+    verb_parser.add_argument("root", type=Path, help="the root to approve, rewritten")
+    verb_parser.add_argument("--key", type=Path, required=True, help="a private key")
+    verb_parser.add_argument("--key-id", required=True, help="its name in the settings")
     for name, verb in (
         ("verify", bundle_verbs.verify_verb),
         ("roll", bundle_verbs.roll_verb),
     ):
-        made = add_verb(verbs, name, verb)
-        made.add_argument("root", type=Path, help="an approved root")
-        made.add_argument("--settings", type=Path, required=True, help="of any host")
-        made.add_argument("--blobs", type=Path, help="default: beside the root")
+        verb_parser = add_verb(verbs, name, verb)
+        verb_parser.add_argument("root", type=Path, help="an approved root")
+        verb_parser.add_argument(
+            "--settings", type=Path, required=True, help="of any host"
+        )
+        verb_parser.add_argument("--blobs", type=Path, help="default: beside the root")
         if name == "roll":
             text = "the directory that the platform publishes"
-            made.add_argument("--publish", type=Path, required=True, help=text)
+            verb_parser.add_argument("--publish", type=Path, required=True, help=text)
 
 
-def add_settings(
+def add_settings_verbs(
     groups: SubParsers,
 ) -> None:
     """Add the verbs of settings."""
     text = "Settings of hosts."
     group = groups.add_parser("settings", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
-    made = add_verb(verbs, "check", fleet_verbs.settings_check)
-    made.add_argument("settings", type=Path, help="a settings file")
+    verb_parser = add_verb(verbs, "check", fleet_verbs.settings_check_verb)
+    verb_parser.add_argument("settings", type=Path, help="a settings file")
 
 
-def add_fleet(
+def add_fleet_verbs(
     groups: SubParsers,
 ) -> None:
     """Add the verbs that ask a fleet."""
     text = "A running fleet, asked, and changed by one verb only."
     group = groups.add_parser("fleet", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
-    made = add_verb(verbs, "status", fleet_verbs.status)
-    add_hosts(made)
-    made = add_verb(verbs, "explain", fleet_verbs.explain)
-    made.add_argument("id", help="of a request, load-TOKEN, evict-TOKEN or bundle")
-    add_hosts(made)
-    made = add_verb(verbs, "quarantine", fleet_verbs.quarantine)
-    add_hosts(made)
-    made = add_verb(verbs, "lift", fleet_verbs.lift)
-    made.add_argument("content", help="as `quarantine` names it")
-    add_hosts(made)
-
-
-def add_logs(
+    verb_parser = add_verb(verbs, "status", fleet_verbs.status_verb)
+    add_hosts_option(verb_parser)
+    verb_parser = add_verb(verbs, "explain", fleet_verbs.explain_verb)
+    verb_parser.add_argument(
+        "id", help="of a request, load-TOKEN, evict-TOKEN or bundle"
+    )
+    add_hosts_option(verb_parser)
+    verb_parser = add_verb(verbs, "quarantine", fleet_verbs.quarantine_verb)
+    add_hosts_option(verb_parser)
+    verb_parser = add_verb(verbs, "lift", fleet_verbs.lift_verb)
+    verb_parser.add_argument("content", help="as `quarantine` names it")
+    add_hosts_option(verb_parser)
+
+
+def add_log_verbs(
     groups: SubParsers,
 ) -> None:
     """Add the verbs that read collected logs."""
     text = "Logs collected from hosts."
     group = groups.add_parser("logs", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
-    made = add_verb(verbs, "explain", log_verbs.explain)
-    made.add_argument("id", help="of a request")
-    add_files(made)
-    made = add_verb(verbs, "losses", log_verbs.losses)
-    add_files(made)
+    verb_parser = add_verb(verbs, "explain", log_verbs.explain_verb)
+    verb_parser.add_argument("id", help="of a request")
+    add_files_argument(verb_parser)
+    verb_parser = add_verb(verbs, "losses", log_verbs.losses_verb)
+    add_files_argument(verb_parser)
 
 
-def add_files(made: argparse.ArgumentParser) -> None:
+def add_files_argument(verb_parser: argparse.ArgumentParser) -> None:
     """Add the files of logs to read."""
-    made.add_argument("files", nargs="+", type=Path, help="lines of JSON, any hosts'")
+    verb_parser.add_argument(
+        "files", nargs="+", type=Path, help="lines of JSON, any hosts'"
+    )
 
 
-def add_hosts(made: argparse.ArgumentParser) -> None:
+def add_hosts_option(verb_parser: argparse.ArgumentParser) -> None:
     """Add the option that names the hosts to ask."""
-    made.add_argument(
+    verb_parser.add_argument(
         "--hosts",
         nargs="+",
         required=True,
@@ -153,7 +163,7 @@
     )
 
 
-def positive(text: str) -> int:
+def positive_int(text: str) -> int:
     """Read a whole number above zero."""
     value = int(text)
     if value < 1:
@@ -161,9 +171,9 @@
     return value
 
 
-def main(words: Sequence[str] | None = None) -> int:
+def main(argv: Sequence[str] | None = None) -> int:
     """Run the command; return its exit code."""
-    arguments = parser().parse_args(words)
+    arguments = make_parser().parse_args(argv)
     try:
         output: Output = arguments.verb(arguments)
     except CommandError as error:
--- a/packages/cli/tests/test_command.py
+++ b/packages/cli/tests/test_command.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from sardinequay_cli.main import main, parser
+from sardinequay_cli.main import main, make_parser
 
 CALLER = "kiosks"
 
 
 @pytest.fixture(autouse=True)
-def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
+def set_help_width(monkeypatch: pytest.MonkeyPatch) -> None:
     """Help wraps at the same column everywhere."""
     monkeypatch.setenv("COLUMNS", "80")
 
@@ -41,7 +41,7 @@
     }
 
 
-class Desk:
+class CommandRunner:
     """An operator's desk: files, three keys, settings, and the command."""
 
     def __init__(self, directory: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -51,8 +51,12 @@
     def run(self, *words: object) -> tuple[int, str, str]:
         code = main([str(word) for word in words])
         output = self.capsys.readouterr()
-        place = str(self.directory)
-        return code, output.out.replace(place, "DIR"), output.err.replace(place, "DIR")
+        directory_text = str(self.directory)
+        return (
+            code,
+            output.out.replace(directory_text, "DIR"),
+            output.err.replace(directory_text, "DIR"),
+        )
 
     def document(self, *words: object) -> dict[str, Any]:
         code, out, err = self.run("--json", *words)
@@ -105,8 +109,8 @@
 
 
 @pytest.fixture
-def desk(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> Desk:
-    return Desk(tmp_path, capsys)
+def runner(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> CommandRunner:
+    return CommandRunner(tmp_path, capsys)
 
 
 @pytest.mark.parametrize(
@@ -127,74 +131,80 @@
     words: list[str], capsys: pytest.CaptureFixture[str], snapshot: Any
 ) -> None:
     with pytest.raises(SystemExit) as caught:
-        parser().parse_args([*words, "--help"])
+        make_parser().parse_args([*words, "--help"])
     assert caught.value.code == 0
     assert capsys.readouterr().out == snapshot
 
 
-def test_bundle_goes_from_contents_to_published(desk: Desk) -> None:
-    settings, published = desk.make_settings(), desk.directory / "published"
-    root = desk.build(1, "a", "b")
-    desk.sign(root, "ana", "bruno")
-    verified = desk.document("bundle", "verify", root, "--settings", settings)
+def test_bundle_goes_from_contents_to_published(runner: CommandRunner) -> None:
+    settings, published = runner.make_settings(), runner.directory / "published"
+    root = runner.build(1, "a", "b")
+    runner.sign(root, "ana", "bruno")
+    verified = runner.document("bundle", "verify", root, "--settings", settings)
     assert verified["approvers"] == ["ana", "bruno"]
-    desk.document(
+    runner.document(
         "bundle", "roll", root, "--settings", settings, "--publish", published
     )
     assert (published / "root").read_bytes() == root.read_bytes()
 
 
-def test_refusals_say_why(desk: Desk, snapshot: Any) -> None:
-    settings, published = desk.make_settings(), desk.directory / "published"
+def test_refusals_say_why(runner: CommandRunner, snapshot: Any) -> None:
+    settings, published = runner.make_settings(), runner.directory / "published"
     roll = ("--settings", settings, "--publish", published)
-    first, second, twin = desk.build(1, "a"), desk.build(2, "a"), desk.build(3, "b")
-    desk.sign(second, "ana", "bruno")
-    answers = [desk.run("bundle", "roll", first, *roll)]
-    desk.document("bundle", "roll", second, *roll)
-    desk.sign(first, "ana", "carla")
-    answers.append(desk.run("bundle", "roll", first, *roll))
-    answers.append(desk.run("bundle", "roll", second, *roll))
+    first, second, twin = (
+        runner.build(1, "a"),
+        runner.build(2, "a"),
+        runner.build(3, "b"),
+    )
+    runner.sign(second, "ana", "bruno")
+    answers = [runner.run("bundle", "roll", first, *roll)]
+    runner.document("bundle", "roll", second, *roll)
+    runner.sign(first, "ana", "carla")
+    answers.append(runner.run("bundle", "roll", first, *roll))
+    answers.append(runner.run("bundle", "roll", second, *roll))
     twin.write_bytes(b"{")
-    answers.append(desk.run("bundle", "verify", twin, "--settings", settings))
-    answers.append(desk.run("bundle", "sign", twin, "--key", settings, "--key-id", "x"))
-    answers.append(desk.run("key", "make", desk.directory / "ana.pem"))
-    answers.append(desk.run("bundle", "lint", desk.directory / "nowhere.json"))
+    answers.append(runner.run("bundle", "verify", twin, "--settings", settings))
+    answers.append(
+        runner.run("bundle", "sign", twin, "--key", settings, "--key-id", "x")
+    )
+    answers.append(runner.run("key", "make", runner.directory / "ana.pem"))
+    answers.append(runner.run("bundle", "lint", runner.directory / "nowhere.json"))
     assert answers == snapshot
 
 
 def test_lint_and_diff_are_read_by_people_and_programs(
-    desk: Desk, snapshot: Any
+    runner: CommandRunner, snapshot: Any
 ) -> None:
-    good = desk.write("good.json", contents("a", "b"))
+    good = runner.write("good.json", contents("a", "b"))
     bad = contents("a")
     bad["adapters"][0]["pool"] = "gone"
-    wrong = desk.write("bad.json", bad)
+    wrong = runner.write("bad.json", bad)
     answers = [
-        desk.run("bundle", "lint", good),
-        desk.run("bundle", "lint", wrong),
-        desk.run("--json", "bundle", "lint", wrong),
-        desk.run("bundle", "diff", good, wrong),
-        desk.run("--json", "bundle", "diff", good, good),
+        runner.run("bundle", "lint", good),
+        runner.run("bundle", "lint", wrong),
+        runner.run("--json", "bundle", "lint", wrong),
+        runner.run("bundle", "diff", good, wrong),
+        runner.run("--json", "bundle", "diff", good, good),
     ]
     assert answers == snapshot
 
 
-def test_private_keys_are_readable_by_their_owner_alone(desk: Desk) -> None:
-    key = desk.directory / "k.pem"
-    desk.document("key", "make", key)
+def test_private_keys_are_readable_by_their_owner_alone(runner: CommandRunner) -> None:
+    key = runner.directory / "k.pem"
+    runner.document("key", "make", key)
     assert key.stat().st_mode & 0o777 == 0o600
 
 
-def test_settings_are_checked(desk: Desk) -> None:
-    settings = desk.make_settings()
-    assert desk.run("settings", "check", settings)[0] == 0
+def test_settings_are_checked(runner: CommandRunner) -> None:
+    settings = runner.make_settings()
+    assert runner.run("settings", "check", settings)[0] == 0
     settings.write_text(settings.read_text().replace('"dc"]', '"other"]'))
-    code, _, error = desk.run("settings", "check", settings)
+    code, _, error = runner.run("settings", "check", settings)
     assert code == 2
     assert "data_centre" in error
 
 
-class HeldHost(BaseHTTPRequestHandler):
+class QuarantiningHost(BaseHTTPRequestHandler):
     """A host that holds one content until that is lifted."""
 
     held = True
@@ -221,25 +231,27 @@
 
 
 @pytest.fixture
-def held_host() -> Iterator[str]:
-    server = ThreadingHTTPServer(("127.0.0.1", 0), HeldHost)
+def quarantining_host() -> Iterator[str]:
+    server = ThreadingHTTPServer(("127.0.0.1", 0), QuarantiningHost)
     Thread(target=server.serve_forever, daemon=True).start()
     yield f"127.0.0.1:{server.server_port}"
     server.shutdown()
     server.server_close()
 
 
-def test_quarantine_is_seen_and_lifted(desk: Desk, held_host: str) -> None:
-    code, out, _ = desk.run("fleet", "quarantine", "--hosts", held_host)
+def test_quarantine_is_seen_and_lifted(
+    runner: CommandRunner, quarantining_host: str
+) -> None:
+    code, out, _ = runner.run("fleet", "quarantine", "--hosts", quarantining_host)
     assert code == 0
     assert "h1  c1  held for 4.0 s  a b ended, the last 1.0 s ago" in out
-    assert desk.run("fleet", "lift", "c1", "--hosts", held_host)[0] == 0
-    code, out, _ = desk.run("fleet", "quarantine", "--hosts", held_host)
+    assert runner.run("fleet", "lift", "c1", "--hosts", quarantining_host)[0] == 0
+    code, out, _ = runner.run("fleet", "quarantine", "--hosts", quarantining_host)
     assert (code, out.strip()) == (0, "nothing is held")
-    assert desk.run("fleet", "lift", "c1", "--hosts", held_host)[0] == 1
+    assert runner.run("fleet", "lift", "c1", "--hosts", quarantining_host)[0] == 1
 
 
-def test_unreachable_hosts_are_told(desk: Desk) -> None:
-    code, out, _ = desk.run("fleet", "status", "--hosts", "127.0.0.1:1")
+def test_unreachable_hosts_are_told(runner: CommandRunner) -> None:
+    code, out, _ = runner.run("fleet", "status", "--hosts", "127.0.0.1:1")
     assert code == 4
     assert "unreachable" in out
