--- a/packages/cli/src/sardinequay_cli/__init__.py
+++ b/packages/cli/src/sardinequay_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command of the operators: bundles, settings, and what a fleet has in force."""
+"""Command line for operators: bundles, settings, hosts' status and collected logs."""
--- a/packages/cli/src/sardinequay_cli/bundle_verbs.py
+++ b/packages/cli/src/sardinequay_cli/bundle_verbs.py
@@ -1,4 +1,4 @@
-"""The verbs of bundles: build, lint, diff, sign, verify and roll."""
+"""Verbs for bundles (build, lint, diff, sign, verify, roll) and approvers' keys."""
 
 from argparse import Namespace
 from collections.abc import Sequence
@@ -40,7 +40,7 @@
 
 
 def make_key_verb(arguments: Namespace) -> Output:
-    """Make an approver's key."""
+    """Generate an approver's key pair."""
     key = Ed25519PrivateKey.generate()
     write_private_key(arguments.key, key)
     public = public_key_hex(key)
@@ -49,7 +49,7 @@
 
 
 def findings_output(findings: Sequence[Finding]) -> Output:
-    """Return faults as output, with the exit code that says whether there are any."""
+    """Return lint findings as output; the exit code states whether there are any."""
     lines = tuple(str(f) for f in findings) or ("no findings",)
     document = {
         "findings": [
@@ -60,7 +60,7 @@
 
 
 def lint_verb(arguments: Namespace) -> Output:
-    """Check contents."""
+    """Check the contents of a bundle for faults."""
     contents = read_contents(arguments.contents)
     findings = lint_contents(contents)
     if not findings:
@@ -70,7 +70,7 @@
 
 
 def build_verb(arguments: Namespace) -> Output:
-    """Build a root and blobs from contents that have no faults."""
+    """Build a root and blobs from contents without faults."""
     contents = read_contents(arguments.contents)
     findings = lint_contents(contents)
     if findings:
@@ -92,7 +92,7 @@
 
 
 def diff_verb(arguments: Namespace) -> Output:
-    """Show what changes from one file of contents to another."""
+    """Show the differences between two contents files."""
     differences = diff_contents(
         read_contents(arguments.old), read_contents(arguments.new)
     )
@@ -123,7 +123,13 @@
 
 
 def verify_bundle(root: Path, blobs: Path, settings: Path) -> tuple[SignedRoot, Bundle]:
-    """Return a bundle that hosts with these settings would put in force."""
+    """Return a bundle after the checks that a host with these settings makes.
+
+    Raises
+    ------
+    CommandError
+        If its approvals are not valid or a blob is missing or wrong.
+    """
     verified = verify_signed_root(read_bytes(root), read_approval_policy(settings))
     if not isinstance(verified, Success):
         raise CommandError(f"refused: {verified.failure()}", EXIT_REFUSED)
@@ -137,7 +143,7 @@
 
 
 def verify_verb(arguments: Namespace) -> Output:
-    """Check approvals and completeness as a host would."""
+    """Check approvals and completeness of a bundle as a host does."""
     blobs = arguments.blobs or arguments.root.parent
     signed, bundle = verify_bundle(arguments.root, blobs, arguments.settings)
     approvers = sorted(
@@ -154,14 +160,16 @@
 
 
 def roll_verb(arguments: Namespace) -> Output:
-    """Place a good, newer bundle where the platform publishes from."""
+    """Place a verified, newer bundle in the directory that the platform publishes."""
     blobs = arguments.blobs or arguments.root.parent
     signed, bundle = verify_bundle(arguments.root, blobs, arguments.settings)
     published = arguments.publish / ROOT_FILE_NAME
     if published.exists():
         comparison = compare_roots(signed.root, read_signed_root(published).root)
         if comparison is not RootComparison.NEWER:
-            message = f"refused: {comparison.value} beside the published version"
+            message = (
+                f"refused: {comparison.value} when compared with the published version"
+            )
             raise CommandError(message, EXIT_REFUSED)
     needed = {
         signed.root.base,
@@ -169,8 +177,11 @@
         *(leaf.digest for leaf in bundle.leaves),
     }
     available = read_blobs(blobs)
-    # The root goes last: whoever sees it finds every blob that it names.
-    write_blobs(arguments.publish, {digest: available[digest] for digest in needed})
+    # The root is written last, so that a reader of it finds every blob that it names.
+    write_blobs(
+        arguments.publish,
+        {needed_digest: available[needed_digest] for needed_digest in needed},
+    )
     write_atomically(published, encode_signed_root(signed))
     document = {"version": bundle.version, "digest": bundle.digest}
     return Output((f"version {bundle.version} is to be published",), document)
--- a/packages/cli/src/sardinequay_cli/errors.py
+++ b/packages/cli/src/sardinequay_cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line, each with its exit code."""
+"""Exit codes of the command line, and the error that carries one."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(unsafe_hash=True)
 class CommandError(Exception):
-    """A verb that did not do what it was asked."""
+    """A verb failed; the message goes to standard error."""
 
     message: str
     exit_code: int
--- a/packages/cli/src/sardinequay_cli/files.py
+++ b/packages/cli/src/sardinequay_cli/files.py
@@ -1,4 +1,4 @@
-"""Files that operators keep: contents, signed roots, blobs, keys and settings."""
+"""Reads and writes operators' files: contents, roots, blobs, keys and settings."""
 
 import os
 from collections.abc import Mapping
@@ -29,7 +29,7 @@
 
 
 def read_bytes(path: Path) -> bytes:
-    """Read a file."""
+    """Read a file; raise `CommandError` if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError as error:
@@ -38,7 +38,7 @@
 
 
 def read_contents(path: Path) -> Contents:
-    """Read what a bundle is to offer, in JSON."""
+    """Read the contents of a bundle from a JSON file."""
     try:
         return msgspec.json.decode(read_bytes(path), type=Contents)
     except msgspec.DecodeError as error:
@@ -46,7 +46,7 @@
 
 
 def read_signed_root(path: Path) -> SignedRoot:
-    """Read a root with the approvals it has so far."""
+    """Read a root with its approvals, without checking them."""
     parsed = parse_signed_root(read_bytes(path))
     if not isinstance(parsed, Success):
         raise CommandError(f"{path}: {parsed.failure()}", EXIT_REFUSED)
@@ -55,12 +55,12 @@
 
 
 def write_signed_root(path: Path, signed: SignedRoot) -> None:
-    """Write a root with its approvals so that a reader sees the old or the new one."""
+    """Write a root with its approvals; readers see either the old or the new file."""
     write_atomically(path, encode_signed_root(signed))
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Write a file that appears whole or not at all."""
+    """Write a file under a temporary name, then rename it: it is never partial."""
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
         temporary = path.with_name(path.name + ".part")
@@ -71,7 +71,7 @@
 
 
 def read_blobs(directory: Path) -> dict[Digest, bytes]:
-    """Read all blobs of a directory, by their names."""
+    """Read all blobs of a directory, keyed by digest, which is the file's name."""
     try:
         files = [f for f in directory.iterdir() if len(f.name) == 64]
     except OSError as error:
@@ -80,7 +80,7 @@
 
 
 def write_blobs(directory: Path, blobs: Mapping[Digest, bytes]) -> None:
-    """Write blobs under their digests; one that exists is the same already."""
+    """Write blobs as files named by digest; existing files have the same bytes."""
     for digest, blob in blobs.items():
         path = directory / digest
         if not path.exists():
@@ -115,7 +115,7 @@
 
 
 def write_private_key(path: Path, key: Ed25519PrivateKey) -> None:
-    """Write a new private key, readable by its owner alone; never over an old one."""
+    """Write a new private key that only its owner can read; never overwrite a file."""
     data = key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
@@ -131,7 +131,7 @@
 
 
 def public_key_hex(key: Ed25519PrivateKey) -> str:
-    """Return the public key as settings name it."""
+    """Return the public key in hexadecimal, as in the settings."""
     raw = key.public_key().public_bytes(
         serialization.Encoding.Raw, serialization.PublicFormat.Raw
     )
--- a/packages/cli/src/sardinequay_cli/fleet_verbs.py
+++ b/packages/cli/src/sardinequay_cli/fleet_verbs.py
@@ -1,4 +1,4 @@
-"""The verbs that ask a running fleet; all but `lift` are read-only."""
+"""Verbs that query running hosts, and check settings; all but `lift` are read-only."""
 
 import asyncio
 from argparse import Namespace
@@ -21,12 +21,12 @@
 
 REQUEST_TIMEOUT_S = 5.0
 SETTINGS_READER_GROUP = "sardinequay.settings"
-"""Entry points that read settings files, named by the files' ending."""
+"""Group of entry points that read settings files, named by the file extension."""
 
 
 @dataclass(frozen=True, slots=True)
 class HostAnswer:
-    """What one host answered; no body if it could not be reached."""
+    """The answer of one host; without a body if the host could not be reached."""
 
     address: str
     body: Any = None
@@ -36,7 +36,7 @@
 async def request_host(
     session: aiohttp.ClientSession, address: str, path: str, method: str
 ) -> HostAnswer:
-    """Ask one host's operators' listener."""
+    """Send a request to the operator listener of one host."""
     try:
         async with session.request(method, f"http://{address}{path}") as answer:
             return HostAnswer(address, await answer.json())
@@ -47,7 +47,7 @@
 async def request_all_hosts(
     addresses: list[str], path: str, method: str = "GET"
 ) -> list[HostAnswer]:
-    """Ask all hosts at once."""
+    """Send a request to all hosts concurrently."""
     timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         requests = [
@@ -57,17 +57,17 @@
 
 
 def settings_check_verb(arguments: Namespace) -> Output:
-    """Check a host's settings, in JSON or in the form of an installed deployment."""
+    """Check a host's settings, in JSON or in the format of an installed deployment."""
     host_id = check_settings_file(arguments.settings)
     line = f"settings of {host_id} are good"
     return Output((line,), {"host": host_id, "good": True})
 
 
 def check_settings_file(path: Path) -> str:
-    """Check a settings file and return whose it is.
+    """Check a settings file and return the id of its host.
 
-    Deployments whose settings have another form register a reader for the file's
-    ending; the command itself knows none of them.
+    Deployments with another settings format register a reader for the file extension
+    as an entry point; the command itself contains none of them.
     """
     extension = path.suffix.removeprefix(".")
     for reader in entry_points(group=SETTINGS_READER_GROUP):
@@ -81,7 +81,7 @@
 
 
 def status_verb(arguments: Namespace) -> Output:
-    """Show what is in force, host by host."""
+    """Show the version in force and the state of each host."""
     answers = asyncio.run(request_all_hosts(arguments.hosts, "/v1/status"))
     lines = tuple(status_line(answer) for answer in answers)
     versions = {version_in_force(a.body) for a in answers if a.body}
@@ -95,18 +95,18 @@
 
 
 def version_in_force(body: dict[str, Any]) -> int:
-    """Return the version in force, of a bundle or of a configuration."""
+    """Return the version of the bundle or configuration that a host has in force."""
     version: int = body.get("bundle_version", body.get("config_version", 0))
     return version
 
 
 def reachability_exit_code(answers: list[HostAnswer]) -> int:
-    """Return the exit code that says whether every host answered."""
+    """Return the exit code that states whether every host answered."""
     return EXIT_UNREACHABLE if any(a.body is None for a in answers) else 0
 
 
 def status_line(answer: HostAnswer) -> str:
-    """Return one host's line."""
+    """Format the status of one host as a line."""
     if answer.body is None:
         return f"{answer.address}  unreachable: {answer.error}"
     body = answer.body
@@ -129,7 +129,7 @@
 
 
 def explain_verb(arguments: Namespace) -> Output:
-    """Show what the fleet remembers of a request, a load or an eviction."""
+    """Show what hosts recorded about a request, a load or an eviction."""
     path = f"/v1/explain/{arguments.id}"
     answers = asyncio.run(request_all_hosts(arguments.hosts, path))
     lines: list[str] = []
@@ -140,13 +140,13 @@
             lines.append(f"{entry['at']}  {answer.address}  {entry['what']}  {details}")
             entries.append({"address": answer.address, **entry})
     found = bool(entries)
-    text = tuple(sorted(lines)) or (f"nothing is remembered of {arguments.id}",)
+    text = tuple(sorted(lines)) or (f"no host has a record of {arguments.id}",)
     code = reachability_exit_code(answers) if found else EXIT_FINDINGS
     return Output(text, {"id": arguments.id, "entries": entries}, code)
 
 
 def quarantine_verb(arguments: Namespace) -> Output:
-    """Show the contents of requests that hosts hold, and the targets that ended."""
+    """Show request contents in quarantine, and the targets that ended under them."""
     answers = asyncio.run(request_all_hosts(arguments.hosts, "/v1/status"))
     lines: list[str] = []
     entries: list[dict[str, Any]] = []
@@ -167,11 +167,11 @@
 
 
 def lift_verb(arguments: Namespace) -> Output:
-    """Let requests of a content run again; the hosts asked tell all others."""
+    """Release a content from quarantine; the hosts asked notify all others."""
     path = f"/v1/quarantine/{arguments.content}"
     answers = asyncio.run(request_all_hosts(arguments.hosts, path, "DELETE"))
     lifted = any(a.body and a.body.get("lifted") for a in answers)
-    text = "lifted" if lifted else "under no suspicion there"
+    text = "lifted" if lifted else "not suspected on these hosts"
     code = reachability_exit_code(answers) if lifted else EXIT_FINDINGS
     document = {"content": arguments.content, "lifted": lifted}
     return Output((f"{arguments.content}  {text}",), document, code)
--- a/packages/cli/src/sardinequay_cli/log_lines.py
+++ b/packages/cli/src/sardinequay_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of hosts, read from files that were collected."""
+"""Parses hosts' log lines from collected files."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One decision as a host logged it."""
+    """One log line of a host; `fields` holds the keys without an attribute here."""
 
     time: str
     host: str
@@ -23,15 +23,15 @@
     fields: dict[str, Any]
 
     def format_text(self) -> str:
-        """Return the line for people."""
+        """Format the line as text."""
         details = "  ".join(f"{k}={v}" for k, v in self.fields.items())
         return f"{self.time}  {self.host}  {self.event}  {details}"
 
 
 def parse_log_line(text: str) -> LogLine | None:
-    """Read one line; None if it is no log line of a host.
+    """Parse one line; None if it is not a log line of a host.
 
-    What a collector wrote before the JSON object is passed over.
+    Text before the JSON object, as log collectors add it, is ignored.
     """
     start = text.find("{")
     if start < 0:
@@ -53,7 +53,7 @@
 
 
 def read_log_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
-    """Read the log lines of all files."""
+    """Yield the hosts' log lines of all files; other lines are skipped."""
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
@@ -65,7 +65,7 @@
 
 
 def parse_time(text: str) -> datetime:
-    """Return the time of a line; the beginning of time if it has none."""
+    """Parse the time of a log line; `datetime.min` if it cannot be parsed."""
     try:
         return datetime.fromisoformat(text.replace(",", "."))
     except ValueError:
--- a/packages/cli/src/sardinequay_cli/log_verbs.py
+++ b/packages/cli/src/sardinequay_cli/log_verbs.py
@@ -1,4 +1,4 @@
-"""The verbs that read logs collected from hosts."""
+"""Verbs that analyse logs collected from hosts."""
 
 from argparse import Namespace
 from dataclasses import asdict
@@ -11,14 +11,14 @@
 from .output import Output
 
 ORDER_LOOKBACK = timedelta(seconds=5)
-"""Orders this long before a request's first line may be its own: it is logged when the
-wait for an adapter ends."""
+"""Orders up to this long before a request's first line may be due to that request: the
+line is logged only when its wait for an adapter ends."""
 
 TARGET_EVENTS = frozenset({"target changed", "target left out", "engine holds"})
 
 
 def explain_verb(arguments: Namespace) -> Output:
-    """Show what became of a request and why, from collected logs."""
+    """Show the course of a request and its causes from collected logs."""
     lines = list(read_log_lines(arguments.files))
     request_lines = [line for line in lines if line.request == arguments.id]
     related_lines = context_lines(request_lines, lines)
@@ -37,12 +37,14 @@
         ],
     }
     if not request_lines:
-        return Output((f"no line tells of {arguments.id}",), document, EXIT_FINDINGS)
+        return Output(
+            (f"no log line mentions {arguments.id}",), document, EXIT_FINDINGS
+        )
     return Output(text, document)
 
 
 def context_lines(request_lines: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
-    """Return what else happened to the request's targets and adapter meanwhile."""
+    """Return log lines about the request's targets and adapter until its last line."""
     if not request_lines:
         return []
     first = parse_time(min(entry.time for entry in request_lines))
@@ -73,20 +75,20 @@
 def is_about_own_target(
     line: LogLine, request_lines: list[LogLine], targets: set[Any]
 ) -> bool:
-    """Return whether a line tells a request's own host of one of its targets."""
+    """Return whether the request's host logged a line about one of its targets."""
     return line.host == request_lines[0].host and line.fields.get("target") in targets
 
 
 def losses_verb(arguments: Namespace) -> Output:
-    """Show where service was lost: by route, by cause, and in engines' orders."""
+    """Show failed and late requests by route and cause, and gaps in engines' orders."""
     report = compute_loss_report(read_log_lines(arguments.files))
     if not report.routes:
-        return Output(("no line tells of a request's end",), {}, EXIT_FINDINGS)
+        return Output(("no log line reports the end of a request",), {}, EXIT_FINDINGS)
     return Output(tuple(format_report(report)), asdict(report))
 
 
 def format_report(report: LossReport) -> list[str]:
-    """Return a report of losses for people."""
+    """Format a loss report as lines of text."""
     lines = format_losses(report.routes, "(no route)")
     lines += format_losses(report.organisations, "(nobody)", "organisation ")
     lines.append(f"loads ordered {report.loads}, never used {report.unused_loads}")
@@ -100,7 +102,7 @@
 def format_losses(
     losses_by_name: dict[str, Losses], unnamed: str, label: str = ""
 ) -> list[str]:
-    """Return how requests ended, name by name."""
+    """Format the counts of each route or organisation as lines, most losses first."""
     lines = []
     for name, losses in sorted(losses_by_name.items(), key=loss_sort_key):
         lines.append(f"{label}{name or unnamed}  asked {losses.asked}")
@@ -111,6 +113,6 @@
 
 
 def loss_sort_key(item: tuple[str, Losses]) -> tuple[int, str]:
-    """Return what names are sorted by."""
+    """Return the sort key that puts the name with most losses first."""
     name, losses = item
     return losses.on_time - losses.asked, name
--- a/packages/cli/src/sardinequay_cli/loss_report.py
+++ b/packages/cli/src/sardinequay_cli/loss_report.py
@@ -1,9 +1,10 @@
-"""Where service was lost, computed from hosts' log lines.
+"""Computes failed and late requests, and their causes, from hosts' log lines.
 
-For each request the log tells when it was sent to its last target, when its first event
-came, how it ended, and by when it should have had its first event. A late answer is put
-down to the longer of its waits: for an adapter's place, or at the engine. Orders tell
-which loads served nobody, and for how long an engine that was waited for got none.
+For each request the log holds the time at which it was sent to its last target, the
+time of its first event, its end, and the latency goal for the first event. A late
+answer is attributed to the longer of its two waits: for an adapter slot, or at the
+engine. The logged orders show loads that no request used, and pauses in the orders to
+an engine that requests waited for.
 """
 
 from collections import defaultdict
@@ -15,13 +16,13 @@
 
 END_EVENTS = frozenset({"answered", "refused", "cut off"})
 MIN_PAUSE = timedelta(seconds=1)
-"""Engines that are waited for get an order each few tenths of a second; a longer pause
-means that nobody ordered them."""
+"""An engine that requests wait for gets an order every few tenths of a second; a longer
+pause means that no host was sending it orders."""
 
 
 @dataclass(slots=True)
 class Losses:
-    """How the requests of one route, or of one organisation, ended."""
+    """Counts of requests of a route or organisation: all, on time, others by cause."""
 
     asked: int = 0
     on_time: int = 0
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderPause:
-    """A span in which an engine that was waited for got no order."""
+    """A span in which an engine got no order although requests waited for it."""
 
     target: str
     began: str
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LossReport:
-    """Losses by route and by organisation, and what engines' orders show.
+    """Losses by route and organisation, unused loads, and pauses in engines' orders.
 
     Parameters
     ----------
@@ -55,7 +56,7 @@
 
 
 def compute_loss_report(lines: Iterable[LogLine]) -> LossReport:
-    """Return where service was lost."""
+    """Compute the loss report from log lines in any order."""
     requests: dict[str, list[LogLine]] = defaultdict(list)
     orders: list[LogLine] = []
     for line in lines:
@@ -78,7 +79,7 @@
 
 
 def is_accepted_load(order: LogLine) -> bool:
-    """Return whether an order to load an adapter was accepted."""
+    """Return whether a log line reports an accepted order to load an adapter."""
     return (
         order.fields.get("kind") == "LoadAdapter"
         and order.fields.get("outcome") == "accepted"
@@ -88,7 +89,7 @@
 def count_losses(
     field_name: str, requests: Iterable[Sequence[LogLine]]
 ) -> dict[str, Losses]:
-    """Return how requests ended, by a field of the line that tells their end."""
+    """Count the ends of requests, grouped by a field of the log line of the end."""
     losses_by_value: dict[str, Losses] = {}
     for lines in requests:
         end = next(
@@ -131,7 +132,7 @@
 def use_times(
     requests: Iterable[Sequence[LogLine]],
 ) -> dict[EngineAdapter, list[datetime]]:
-    """Return when requests were sent to each engine for each adapter."""
+    """Return the times at which requests were sent to each engine for each adapter."""
     uses: dict[EngineAdapter, list[datetime]] = defaultdict(list)
     for lines in requests:
         for line in lines:
@@ -151,7 +152,7 @@
     orders: Sequence[LogLine],
     uses: dict[EngineAdapter, list[datetime]],
 ) -> int:
-    """Return how many loads no request used before the adapter was dropped."""
+    """Return how many loads no request used before the adapter was unloaded."""
     drops: dict[EngineAdapter, list[datetime]] = defaultdict(list)
     for order in orders:
         if order.fields.get("kind") == "UnloadAdapter":
@@ -168,7 +169,7 @@
 
 
 def find_order_pauses(orders: Iterable[LogLine]) -> Iterable[OrderPause]:
-    """Return long spans without an order to an engine that more than one waited for."""
+    """Yield long pauses in orders to an engine that at least two requests wait for."""
     last_orders: dict[str, LogLine] = {}
     for order in orders:
         target = str(order.fields.get("target", ""))
--- a/packages/cli/src/sardinequay_cli/main.py
+++ b/packages/cli/src/sardinequay_cli/main.py
@@ -1,4 +1,4 @@
-"""The entry point of ``sardinequay``."""
+"""Entry point and argument parser of the ``sardinequay`` command."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from .output import Output
 
 if TYPE_CHECKING:
-    # The library names the type of its own return value in private only.
+    # argparse has no public name for the type that `add_subparsers` returns.
     SubParsers = argparse._SubParsersAction[argparse.ArgumentParser]
 
 Verb = Callable[[argparse.Namespace], Output]
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Build the argument parser."""
     parser = argparse.ArgumentParser(
         prog="sardinequay",
-        description="Prepare bundles, and ask a fleet what it has in force.",
+        description="Prepare bundles, check settings, and query hosts and their logs.",
         epilog="Exit codes: 0 done, 1 findings, 2 usage, 3 refused, 4 unreachable.",
     )
     parser.add_argument("--json", action="store_true", help="print one JSON document")
@@ -41,7 +41,7 @@
     name: str,
     verb: Verb,
 ) -> argparse.ArgumentParser:
-    """Add a verb whose help is its docstring."""
+    """Add a verb; its docstring is the help text."""
     text = (verb.__doc__ or "").strip()
     verb_parser: argparse.ArgumentParser = verbs.add_parser(
         name, help=text, description=text
@@ -53,37 +53,50 @@
 def add_key_verbs(
     groups: SubParsers,
 ) -> None:
-    """Add the verbs of keys."""
-    text = "Keys of approvers."
+    """Add the verbs for approvers' keys."""
+    text = "Approvers' keys."
     group = groups.add_parser("key", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
     verb_parser = add_verb(verbs, "make", bundle_verbs.make_key_verb)
-    verb_parser.add_argument("key", type=Path, help="where the private key is to go")
+    verb_parser.add_argument("key", type=Path, help="file to write the private key to")
 
 
 def add_bundle_verbs(
     groups: SubParsers,
 ) -> None:
-    """Add the verbs of bundles."""
-    text = "Bundles: what is offered, to whom, and by which policy."
+    """Add the verbs for bundles."""
+    text = "Bundles: signed lists of callers, pools, adapters and policies."
     group = groups.add_parser("bundle", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
     verb_parser = add_verb(verbs, "lint", bundle_verbs.lint_verb)
-    verb_parser.add_argument("contents", type=Path, help="what is offered, in JSON")
+    verb_parser.add_argument(
+        "contents", type=Path, help="contents of the bundle, in JSON"
+    )
     verb_parser = add_verb(verbs, "build", bundle_verbs.build_verb)
-    verb_parser.add_argument("contents", type=Path, help="what is offered, in JSON")
     verb_parser.add_argument(
-        "--version", type=positive_int, required=True, help="from 1, rising"
+        "contents", type=Path, help="contents of the bundle, in JSON"
+    )
+    verb_parser.add_argument(
+        "--version",
+        type=positive_int,
+        required=True,
+        help="1 or more, higher than the last",
     )
-    verb_parser.add_argument("--note", default="", help="a word for those who approve")
-    verb_parser.add_argument("--out", type=Path, required=True, help="a directory")
+    verb_parser.add_argument("--note", default="", help="a note for the approvers")
+    verb_parser.add_argument("--out", type=Path, required=True, help="output directory")
     verb_parser = add_verb(verbs, "diff", bundle_verbs.diff_verb)
-    verb_parser.add_argument("old", type=Path, help="contents, in JSON")
-    verb_parser.add_argument("new", type=Path, help="contents, in JSON")
+    verb_parser.add_argument("old", type=Path, help="old contents, in JSON")
+    verb_parser.add_argument("new", type=Path, help="new contents, in JSON")
     verb_parser = add_verb(verbs, "sign", bundle_verbs.sign_verb)
-    verb_parser.add_argument("root", type=Path, help="the root to approve, rewritten")
-    verb_parser.add_argument("--key", type=Path, required=True, help="a private key")
-    verb_parser.add_argument("--key-id", required=True, help="its name in the settings")
+    verb_parser.add_argument(
+        "root", type=Path, help="the root to approve; the file is rewritten"
+    )
+    verb_parser.add_argument(
+        "--key", type=Path, required=True, help="file of the private key"
+    )
+    verb_parser.add_argument(
+        "--key-id", required=True, help="name of the key in the settings"
+    )
     for name, verb in (
         ("verify", bundle_verbs.verify_verb),
         ("roll", bundle_verbs.roll_verb),
@@ -91,9 +104,11 @@
         verb_parser = add_verb(verbs, name, verb)
         verb_parser.add_argument("root", type=Path, help="an approved root")
         verb_parser.add_argument(
-            "--settings", type=Path, required=True, help="of any host"
+            "--settings", type=Path, required=True, help="settings file of any host"
+        )
+        verb_parser.add_argument(
+            "--blobs", type=Path, help="directory of blobs; default: the root's"
         )
-        verb_parser.add_argument("--blobs", type=Path, help="default: beside the root")
         if name == "roll":
             text = "the directory that the platform publishes"
             verb_parser.add_argument("--publish", type=Path, required=True, help=text)
@@ -102,8 +117,8 @@
 def add_settings_verbs(
     groups: SubParsers,
 ) -> None:
-    """Add the verbs of settings."""
-    text = "Settings of hosts."
+    """Add the verbs for hosts' settings."""
+    text = "Hosts' settings files."
     group = groups.add_parser("settings", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
     verb_parser = add_verb(verbs, "check", fleet_verbs.settings_check_verb)
@@ -113,21 +128,23 @@
 def add_fleet_verbs(
     groups: SubParsers,
 ) -> None:
-    """Add the verbs that ask a fleet."""
-    text = "A running fleet, asked, and changed by one verb only."
+    """Add the verbs that query running hosts."""
+    text = "Queries to running hosts; only `lift` changes anything."
     group = groups.add_parser("fleet", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
     verb_parser = add_verb(verbs, "status", fleet_verbs.status_verb)
     add_hosts_option(verb_parser)
     verb_parser = add_verb(verbs, "explain", fleet_verbs.explain_verb)
     verb_parser.add_argument(
-        "id", help="of a request, load-TOKEN, evict-TOKEN or bundle"
+        "id", help="a request's id, load-TOKEN, evict-TOKEN or bundle"
     )
     add_hosts_option(verb_parser)
     verb_parser = add_verb(verbs, "quarantine", fleet_verbs.quarantine_verb)
     add_hosts_option(verb_parser)
     verb_parser = add_verb(verbs, "lift", fleet_verbs.lift_verb)
-    verb_parser.add_argument("content", help="as `quarantine` names it")
+    verb_parser.add_argument(
+        "content", help="digest of the content, as `quarantine` shows it"
+    )
     add_hosts_option(verb_parser)
 
 
@@ -139,32 +156,35 @@
     group = groups.add_parser("logs", help=text, description=text)
     verbs = group.add_subparsers(dest="name", required=True, metavar="VERB")
     verb_parser = add_verb(verbs, "explain", log_verbs.explain_verb)
-    verb_parser.add_argument("id", help="of a request")
+    verb_parser.add_argument("id", help="id of the request")
     add_files_argument(verb_parser)
     verb_parser = add_verb(verbs, "losses", log_verbs.losses_verb)
     add_files_argument(verb_parser)
 
 
 def add_files_argument(verb_parser: argparse.ArgumentParser) -> None:
-    """Add the files of logs to read."""
+    """Add the argument that names the log files."""
     verb_parser.add_argument(
-        "files", nargs="+", type=Path, help="lines of JSON, any hosts'"
+        "files",
+        nargs="+",
+        type=Path,
+        help="log files of any hosts, one JSON object a line",
     )
 
 
 def add_hosts_option(verb_parser: argparse.ArgumentParser) -> None:
-    """Add the option that names the hosts to ask."""
+    """Add the option that names the hosts to query."""
     verb_parser.add_argument(
         "--hosts",
         nargs="+",
         required=True,
         metavar="IP:PORT",
-        help="operators' listeners",
+        help="operator listeners of hosts",
     )
 
 
 def positive_int(text: str) -> int:
-    """Read a whole number above zero."""
+    """Parse a whole number above zero."""
     value = int(text)
     if value < 1:
         raise argparse.ArgumentTypeError(f"{value} is below 1")
@@ -172,7 +192,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command; return its exit code."""
+    """Run the command and return its exit code."""
     arguments = make_parser().parse_args(argv)
     try:
         output: Output = arguments.verb(arguments)
--- a/packages/cli/tests/test_command.py
+++ b/packages/cli/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command line: help, exit codes, output for people and as JSON."""
+"""The command line: help, exit codes, output as text and as JSON."""
 
 import json
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 @pytest.fixture(autouse=True)
 def set_help_width(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Help wraps at the same column everywhere."""
+    """Make help texts wrap at the same column on every terminal."""
     monkeypatch.setenv("COLUMNS", "80")
 
 
@@ -42,7 +42,7 @@
 
 
 class CommandRunner:
-    """An operator's desk: files, three keys, settings, and the command."""
+    """Runs the command on files, keys and settings in a temporary directory."""
 
     def __init__(self, directory: Path, capsys: pytest.CaptureFixture[str]) -> None:
         self.directory = directory
@@ -205,7 +205,7 @@
 
 
 class QuarantiningHost(BaseHTTPRequestHandler):
-    """A host that holds one content until that is lifted."""
+    """An operator listener with one content in quarantine until it is lifted."""
 
     held = True
 
@@ -227,7 +227,7 @@
         self.wfile.write(data)
 
     def log_message(self, *_: object) -> None:
-        """Say nothing."""
+        """Suppress the access log."""
 
 
 @pytest.fixture
@@ -239,7 +239,7 @@
     server.server_close()
 
 
-def test_quarantine_is_seen_and_lifted(
+def test_quarantine_is_shown_and_lifted(
     runner: CommandRunner, quarantining_host: str
 ) -> None:
     code, out, _ = runner.run("fleet", "quarantine", "--hosts", quarantining_host)
@@ -251,7 +251,7 @@
     assert runner.run("fleet", "lift", "c1", "--hosts", quarantining_host)[0] == 1
 
 
-def test_unreachable_hosts_are_told(runner: CommandRunner) -> None:
+def test_unreachable_hosts_are_reported(runner: CommandRunner) -> None:
     code, out, _ = runner.run("fleet", "status", "--hosts", "127.0.0.1:1")
     assert code == 4
     assert "unreachable" in out
--- a/packages/cli/tests/test_logs.py
+++ b/packages/cli/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by lines that hosts logged while they served."""
+"""`logs explain` finds the cause of a request's end in recorded log lines of hosts."""
 
 import json
 from pathlib import Path
@@ -19,7 +19,7 @@
     return json.loads(capsys.readouterr().out)["lines"]
 
 
-def test_refused_request_names_the_queue_that_it_could_not_wait_for(capsys) -> None:
+def test_refused_request_shows_the_expected_wait_for_its_adapter(capsys) -> None:
     lines = explain(capsys, REFUSED)
     asked = next(x for x in lines if x["event"] == "waited for adapter")
     assert not asked["ready"]
@@ -29,7 +29,7 @@
     assert end["detail"].startswith("overloaded, not_run")
 
 
-def test_request_that_timed_out_names_the_silent_target(capsys) -> None:
+def test_timed_out_request_shows_the_silent_target(capsys) -> None:
     lines = explain(capsys, TIMED_OUT)
     sent = next(x for x in lines if x["event"] == "target chosen")
     failed = next(x for x in lines if x["event"] == "attempt failed")
@@ -38,7 +38,7 @@
     assert lines[-1]["detail"].startswith("target_failed, unknown")
 
 
-def test_stream_that_broke_off_names_the_engine_that_ended_it(capsys) -> None:
+def test_broken_stream_shows_the_engine_that_broke_it(capsys) -> None:
     lines = explain(capsys, BROKEN_OFF)
     order = next(x for x in lines if x["event"] == "order")
     failed = next(x for x in lines if x["event"] == "attempt failed")
@@ -47,7 +47,7 @@
     assert lines[-1]["event"] == "cut off"
 
 
-def test_every_line_of_a_decision_names_its_inputs_and_their_age(capsys) -> None:
+def test_chosen_targets_are_logged_with_inputs_and_their_age(capsys) -> None:
     for request_id in (TIMED_OUT, BROKEN_OFF):
         chosen = [
             x for x in explain(capsys, request_id) if x["event"] == "target chosen"
@@ -57,14 +57,14 @@
 
 def test_unknown_request_is_a_finding(capsys) -> None:
     assert main(["logs", "explain", "nobody", str(RECORDED)]) == EXIT_FINDINGS
-    assert "no line tells" in capsys.readouterr().out
+    assert "no log line mentions" in capsys.readouterr().out
 
 
 def test_missing_file_is_a_usage_error(capsys, tmp_path: Path) -> None:
     assert main(["logs", "explain", "x", str(tmp_path / "none")]) == EXIT_USAGE
 
 
-def test_lines_that_are_no_logs_are_passed_over(capsys, tmp_path: Path) -> None:
+def test_lines_that_are_not_log_lines_are_ignored(capsys, tmp_path: Path) -> None:
     path = tmp_path / "mixed"
     path.write_text(
         f"noise\n{{broken\n 3.2 h1 {RECORDED.read_text().splitlines()[0]}\n"
--- a/packages/cli/tests/test_losses.py
+++ b/packages/cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where service was lost, told from log lines alone."""
+"""`logs losses` computes failed and late requests from log lines."""
 
 import json
 from pathlib import Path
@@ -73,7 +73,7 @@
     return path
 
 
-def test_losses_are_told_by_route_and_cause(
+def test_losses_are_counted_by_route_and_cause(
     logs: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["--json", "logs", "losses", str(logs)]) == 0
@@ -89,7 +89,7 @@
     }
 
 
-def test_loads_that_nobody_used_and_pauses_are_told(
+def test_unused_loads_and_order_pauses_are_reported(
     logs: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["--json", "logs", "losses", str(logs)]) == 0
@@ -98,7 +98,7 @@
     assert [p["lasted_s"] for p in found["pauses"]] == [3.4]
 
 
-def test_people_get_the_most_lost_route_first(
+def test_text_output_starts_with_the_route_with_most_losses(
     logs: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["logs", "losses", str(logs)]) == 0
@@ -111,7 +111,7 @@
     assert main(["logs", "losses", str(path)]) == EXIT_FINDINGS
 
 
-def test_losses_are_told_by_organisation(
+def test_losses_are_counted_by_organisation(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     over = "over_quota, not_run: organisation north asks for 900 of 200 a second"
