--- a/packages/cli/src/sardinequay_cli/files.py
+++ b/packages/cli/src/sardinequay_cli/files.py
@@ -1,4 +1,4 @@
-"""Files that operators keep: contents, signed roots, blobs, keys and settings."""
+"""Reads and writes operators' files: contents, roots, blobs, keys and settings."""
 
 import os
 from collections.abc import Mapping
@@ -24,12 +24,12 @@
 from .errors import EXIT_REFUSED, EXIT_USAGE, CommandError
 
 T = TypeVar("T")
-ROOT_NAME = "root"
-PRIVATE_MODE = 0o600
+ROOT_FILE_NAME = "root"
+PRIVATE_KEY_MODE = 0o600
 
 
 def read_bytes(path: Path) -> bytes:
-    """Read a file."""
+    """Read a file; raise `CommandError` if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError as error:
@@ -38,15 +38,15 @@
 
 
 def read_contents(path: Path) -> Contents:
-    """Read what a bundle is to offer, in JSON."""
+    """Read the contents of a bundle from a JSON file."""
     try:
         return msgspec.json.decode(read_bytes(path), type=Contents)
     except msgspec.DecodeError as error:
         raise CommandError(f"{path}: {error}", EXIT_USAGE) from error
 
 
-def read_signed(path: Path) -> SignedRoot:
-    """Read a root with the approvals it has so far."""
+def read_signed_root(path: Path) -> SignedRoot:
+    """Read a root with its approvals, without checking them."""
     parsed = parse_signed_root(read_bytes(path))
     if not isinstance(parsed, Success):
         raise CommandError(f"{path}: {parsed.failure()}", EXIT_REFUSED)
@@ -54,24 +54,24 @@
     return signed
 
 
-def write_signed(path: Path, signed: SignedRoot) -> None:
-    """Write a root with its approvals so that a reader sees the old or the new one."""
-    write_whole(path, encode_signed_root(signed))
+def write_signed_root(path: Path, signed: SignedRoot) -> None:
+    """Write a root with its approvals; readers see either the old or the new file."""
+    write_atomically(path, encode_signed_root(signed))
 
 
-def write_whole(path: Path, data: bytes) -> None:
-    """Write a file that appears whole or not at all."""
+def write_atomically(path: Path, data: bytes) -> None:
+    """Write a file under a temporary name, then rename it: it is never partial."""
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
-        part = path.with_name(path.name + ".part")
-        part.write_bytes(data)
-        part.replace(path)
+        temporary = path.with_name(path.name + ".part")
+        temporary.write_bytes(data)
+        temporary.replace(path)
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
 
 
 def read_blobs(directory: Path) -> dict[Digest, bytes]:
-    """Read all blobs of a directory, by their names."""
+    """Read all blobs of a directory, keyed by digest, which is the file's name."""
     try:
         files = [f for f in directory.iterdir() if len(f.name) == 64]
     except OSError as error:
@@ -80,14 +80,14 @@
 
 
 def write_blobs(directory: Path, blobs: Mapping[Digest, bytes]) -> None:
-    """Write blobs under their digests; one that exists is the same already."""
+    """Write blobs as files named by digest; existing files have the same bytes."""
     for digest, blob in blobs.items():
         path = directory / digest
         if not path.exists():
-            write_whole(path, blob)
+            write_atomically(path, blob)
 
 
-def read_trust(path: Path) -> ApprovalPolicy:
+def read_approval_policy(path: Path) -> ApprovalPolicy:
     """Read the approvers' keys and the threshold from a host's settings."""
     settings = read_host_settings(path)
     return ApprovalPolicy(settings.trust.keys, settings.trust.threshold)
@@ -95,10 +95,10 @@
 
 def read_host_settings(path: Path) -> Settings:
     """Read a host's settings."""
-    read = read_settings(path)
-    if not isinstance(read, Success):
-        raise CommandError(str(read.failure()), EXIT_USAGE)
-    settings: Settings = read.unwrap()
+    result = read_settings(path)
+    if not isinstance(result, Success):
+        raise CommandError(str(result.failure()), EXIT_USAGE)
+    settings: Settings = result.unwrap()
     return settings
 
 
@@ -115,7 +115,7 @@
 
 
 def write_private_key(path: Path, key: Ed25519PrivateKey) -> None:
-    """Write a new private key, readable by its owner alone; never over an old one."""
+    """Write a new private key that only its owner can read; never overwrite a file."""
     data = key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
@@ -124,14 +124,14 @@
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
-        with os.fdopen(os.open(path, flags, PRIVATE_MODE), "wb") as file:
+        with os.fdopen(os.open(path, flags, PRIVATE_KEY_MODE), "wb") as file:
             file.write(data)
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
 
 
-def public_hex(key: Ed25519PrivateKey) -> str:
-    """Return the public key as settings name it."""
+def public_key_hex(key: Ed25519PrivateKey) -> str:
+    """Return the public key in hexadecimal, as in the settings."""
     raw = key.public_key().public_bytes(
         serialization.Encoding.Raw, serialization.PublicFormat.Raw
     )
--- a/packages/cli/src/sardinequay_cli/log_lines.py
+++ b/packages/cli/src/sardinequay_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of hosts, read from files that were collected."""
+"""Parses hosts' log lines from collected files."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -9,12 +9,12 @@
 
 from .errors import EXIT_USAGE, CommandError
 
-HIDDEN = frozenset({"time", "level", "event", "host", "request"})
+STANDARD_KEYS = frozenset({"time", "level", "event", "host", "request"})
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One decision as a host logged it."""
+    """One log line of a host; `fields` holds the keys without an attribute here."""
 
     time: str
     host: str
@@ -22,48 +22,50 @@
     request: str
     fields: dict[str, Any]
 
-    def text(self) -> str:
-        """Return the line for people."""
+    def format_text(self) -> str:
+        """Format the line as text."""
         details = "  ".join(f"{k}={v}" for k, v in self.fields.items())
         return f"{self.time}  {self.host}  {self.event}  {details}"
 
 
-def parse_line(text: str) -> LogLine | None:
-    """Read one line; None if it is no log line of a host.
+def parse_log_line(text: str) -> LogLine | None:
+    """Parse one line; None if it is not a log line of a host.
 
-    What a collector wrote before the JSON object is passed over.
+    Text before the JSON object, as log collectors add it, is ignored.
     """
     start = text.find("{")
     if start < 0:
         return None
     try:
-        found = json.loads(text[start:])
+        record = json.loads(text[start:])
     except ValueError:
         return None
-    if not isinstance(found, dict) or "event" not in found:
+    if not isinstance(record, dict) or "event" not in record:
         return None
-    fields = {k: v for k, v in found.items() if k not in HIDDEN}
+    fields = {k: v for k, v in record.items() if k not in STANDARD_KEYS}
     return LogLine(
-        str(found.get("time", "")),
-        str(found.get("host", "")),
-        str(found["event"]),
-        str(found.get("request", "")),
+        str(record.get("time", "")),
+        str(record.get("host", "")),
+        str(record["event"]),
+        str(record.get("request", "")),
         fields,
     )
 
 
-def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
-    """Read the log lines of all files."""
+def read_log_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
+    """Yield the hosts' log lines of all files; other lines are skipped."""
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
-                yield from (p for p in map(parse_line, file) if p is not None)
+                yield from (
+                    line for line in map(parse_log_line, file) if line is not None
+                )
         except OSError as error:
             raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
 
 
-def moment(text: str) -> datetime:
-    """Return the time of a line; the beginning of time if it has none."""
+def parse_time(text: str) -> datetime:
+    """Parse the time of a log line; `datetime.min` if it cannot be parsed."""
     try:
         return datetime.fromisoformat(text.replace(",", "."))
     except ValueError:
