--- a/packages/core/src/sardinequay_core/quarantine.py
+++ b/packages/core/src/sardinequay_core/quarantine.py
@@ -43,7 +43,7 @@
     retention : timedelta
         How long a content stays under suspicion after its hold.
     max_contents : int
-        Number of contents kept; about 750 bytes each, 0.8 MB together as measured.
+        Number of contents kept; about 750 bytes each, 0.8 MB together.
     """
 
     min_ends_to_hold: int = 2
--- a/packages/daemon/src/sardinequay_daemon/exchange.py
+++ b/packages/daemon/src/sardinequay_daemon/exchange.py
@@ -40,7 +40,7 @@
     deadline : timedelta
         The earlier of the caller's and the route's deadline, on this host's monotonic
         clock.
-    guarded_run : GuardedRun
+    guarded_request : GuardedRequest
         The request's record for the content guard.
     organisation : Organisation or None
         The organisation that sent the request, if known.
